--- a/damaskcroft/routing/__init__.py
+++ b/damaskcroft/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Admission, fair share, choice of target and retries, at an entry."""
+"""Admission, fair sharing, choice of target and retries, at an entry."""
 
 from damaskcroft._later import imported_later
 from damaskcroft.routing._back_pressure import BackPressure
@@ -49,7 +49,7 @@
     "return_after_s",
 ]
 
-# Of the product's own interface alone.
+# Imported on first use: only entries with the product's own interface use them.
 __getattr__ = imported_later(
     __name__,
     {
--- a/damaskcroft/routing/_admission.py
+++ b/damaskcroft/routing/_admission.py
@@ -1,9 +1,10 @@
-"""Who runs next: strict priority, then fair share between customers.
+"""Admission of requests: strict priority, then fair sharing by customer.
 
-Below alerts and pings, customers take turns by deficit round robin (Shreedhar
-and Varghese, "Efficient Fair Queuing Using Deficit Round-Robin", 1996), with
-one request as the unit. Queues are bounded by deadline: whoever could not
-start in time is refused at once, with when to come back.
+Alerts and pings come first. All other requests share the remaining slots by
+deficit round robin between customers (Shreedhar and Varghese, "Efficient Fair
+Queuing Using Deficit Round-Robin", 1996), with one request as the unit. Queues
+are bounded by deadline: a request that cannot start in time is refused at once,
+with the time after which to retry.
 """
 
 import asyncio
@@ -16,9 +17,9 @@
 from damaskcroft.observe import metrics
 
 ALERT, PING, DRAFT = 0, 1, 2
-_SWEEP_S = 0.05
-_SMOOTHING = 0.1
-_FIRST_GUESS_S = 0.05
+_SWEEP_INTERVAL_S = 0.05
+_SERVICE_TIME_SMOOTHING = 0.1
+_INITIAL_SERVICE_S = 0.05
 _NO_TARGET_RETRY_S = 1.0
 _MIN_RETRY_S = 0.1
 
@@ -29,9 +30,9 @@
 
     Attributes:
         pool: name of the pool.
-        customer: who shares fairly with others.
+        customer: name of the customer whose fair share the request uses.
         priority: 0 alert, 1 ping, 2 drafting.
-        deadline_at: on the monotonic clock, in seconds.
+        deadline_at: time on the monotonic clock, in seconds.
     """
 
     pool: str
@@ -42,16 +43,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Granted:
-    """The request holds a slot until it is released."""
+    """Outcome of a request that holds a slot until it is released."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotGranted:
-    """Refused at once; nothing was run.
+    """Outcome of a request that is refused without having run.
 
     Attributes:
         reason: no_target, expected_wait or queue_full.
-        retry_after_s: when a slot is expected.
+        retry_after_s: time until a slot is expected.
     """
 
     reason: str
@@ -69,7 +70,7 @@
 
 
 class _PoolQueue:
-    """Slots and waiters of one pool."""
+    """Slots in use and queued requests of one pool."""
 
     def __init__(self) -> None:
         self.running = 0
@@ -77,7 +78,7 @@
         self.waiters_by_customer: collections.OrderedDict[
             str, collections.deque[_Waiter]
         ] = collections.OrderedDict()
-        self.service_s = _FIRST_GUESS_S
+        self.mean_service_s = _INITIAL_SERVICE_S
 
     def waiting(self) -> int:
         drafts = sum(len(q) for q in self.waiters_by_customer.values())
@@ -92,8 +93,8 @@
             self.waiters_by_customer[customer] = collections.deque()
         self.waiters_by_customer[customer].append(waiter)
 
-    def next_draft(self) -> _Waiter | None:
-        """The next customer's oldest request; the customer goes last."""
+    def pop_draft(self) -> _Waiter | None:
+        """Removes the next customer's oldest draft; the customer goes last."""
         if not self.waiters_by_customer:
             return None
         customer, queue = self.waiters_by_customer.popitem(last=False)
@@ -102,38 +103,38 @@
             self.waiters_by_customer[customer] = queue
         return waiter
 
-    def place_of_next(self, ticket: Ticket) -> int:
-        """How many would go before a request that came now."""
+    def position_of_next(self, ticket: Ticket) -> int:
+        """Counts the requests ahead of one that arrives now."""
         if ticket.priority < DRAFT:
             return len(self.urgent)
         own = len(self.waiters_by_customer.get(ticket.customer, ()))
-        before = sum(
+        of_others = sum(
             min(len(queue), own + 1)
             for customer, queue in self.waiters_by_customer.items()
             if customer != ticket.customer
         )
-        return len(self.urgent) + own + before
+        return len(self.urgent) + own + of_others
 
     def drafts_in_order(self) -> Iterator[tuple[int, _Waiter]]:
-        """Waiting drafts with their expected places, roughly in turn."""
-        place = len(self.urgent)
-        turn = 0
+        """Yields waiting drafts and positions, approximately in grant order."""
+        position = len(self.urgent)
+        round_index = 0
         queues = [list(q) for q in self.waiters_by_customer.values()]
-        while any(turn < len(queue) for queue in queues):
+        while any(round_index < len(queue) for queue in queues):
             for queue in queues:
-                if turn < len(queue):
-                    yield place, queue[turn]
-                    place += 1
-            turn += 1
+                if round_index < len(queue):
+                    yield position, queue[round_index]
+                    position += 1
+            round_index += 1
 
 
 class Admission:
-    """Slots of all pools at one entry.
+    """Grants the slots of all pools at one entry.
 
     Args:
-        slots_of: gives a pool's slots now, by its name.
+        slots_of: returns the current number of slots of a pool, by its name.
         reserved_share: share of slots that only alerts and pings may take.
-        max_queued: most requests waiting in all pools.
+        max_queued: maximum number of requests waiting in all pools.
         clock_s: a monotonic clock in seconds.
     """
 
@@ -144,7 +145,7 @@
         max_queued: int,
         clock_s: Callable[[], float] = now_s,
     ):
-        """See the class."""
+        """Starts with no slots in use and empty queues."""
         self._slots_of = slots_of
         self._reserved_share = reserved_share
         self._max_queued = max_queued
@@ -152,7 +153,7 @@
         self._queues_by_pool: dict[str, _PoolQueue] = {}
 
     async def acquire(self, ticket: Ticket) -> Granted | NotGranted:
-        """Waits for a slot, or is refused as soon as that is hopeless."""
+        """Waits for a slot, or refuses once the deadline cannot be met."""
         queue = self._queues_by_pool.setdefault(ticket.pool, _PoolQueue())
         slots = self._slots_of(ticket.pool)
         if not slots:
@@ -160,75 +161,77 @@
         if self._has_room(queue, ticket, slots) and not queue.waiting():
             queue.running += 1
             return Granted()
-        refused = self._refusal(queue, ticket, slots)
-        if refused is not None:
-            return refused
+        refusal = self._find_refusal(queue, ticket, slots)
+        if refusal is not None:
+            return refusal
         waiter = _Waiter(ticket)
         queue.add(waiter)
-        self._fill(ticket.pool)
+        self._grant_free_slots(ticket.pool)
         try:
             return await waiter.done
         except asyncio.CancelledError:
-            self._forget(queue, waiter)
+            self._abandon(queue, waiter)
             raise
 
     def release(self, ticket: Ticket, ran_s: float) -> None:
-        """Gives a slot back.
+        """Releases a slot.
 
         Args:
-            ticket: what it was granted to.
+            ticket: the ticket that it was granted to.
             ran_s: how long the request ran.
         """
         queue = self._queues_by_pool[ticket.pool]
         queue.running -= 1
-        queue.service_s += _SMOOTHING * (ran_s - queue.service_s)
-        self._fill(ticket.pool)
+        queue.mean_service_s += _SERVICE_TIME_SMOOTHING * (
+            ran_s - queue.mean_service_s
+        )
+        self._grant_free_slots(ticket.pool)
 
     async def run(self) -> None:
-        """Refuses waiters whose wait has become hopeless, until cancelled."""
+        """Refuses waiters that can no longer start in time, until cancelled."""
         while True:
-            await asyncio.sleep(_SWEEP_S)
+            await asyncio.sleep(_SWEEP_INTERVAL_S)
             for pool, queue in self._queues_by_pool.items():
-                self._fill(pool)
-                self._sweep(pool, queue)
+                self._grant_free_slots(pool)
+                self._refuse_late(pool, queue)
                 metrics.ADMISSION_QUEUED.labels(pool).set(queue.waiting())
 
     def _has_room(self, queue: _PoolQueue, ticket: Ticket, slots: int) -> bool:
-        return queue.running < self._limit(slots, ticket.priority)
+        return queue.running < self._max_running(slots, ticket.priority)
 
-    def _limit(self, slots: int, priority: int) -> int:
+    def _max_running(self, slots: int, priority: int) -> int:
         if priority < DRAFT:
             return slots
         return max(1, slots - int(slots * self._reserved_share))
 
-    def _refusal(
+    def _find_refusal(
         self, queue: _PoolQueue, ticket: Ticket, slots: int
     ) -> NotGranted | None:
         wait_s = self._expected_wait_s(
-            queue, queue.place_of_next(ticket), ticket, slots
+            queue, queue.position_of_next(ticket), ticket, slots
         )
         total = sum(q.waiting() for q in self._queues_by_pool.values())
         if total >= self._max_queued and ticket.priority >= DRAFT:
             return NotGranted("queue_full", max(wait_s, _MIN_RETRY_S))
-        if self._clock_s() + wait_s + queue.service_s > ticket.deadline_at:
+        if self._clock_s() + wait_s + queue.mean_service_s > ticket.deadline_at:
             return NotGranted("expected_wait", max(wait_s, _MIN_RETRY_S))
         return None
 
     def _expected_wait_s(
-        self, queue: _PoolQueue, place: int, ticket: Ticket, slots: int
+        self, queue: _PoolQueue, position: int, ticket: Ticket, slots: int
     ) -> float:
-        limit = self._limit(slots, ticket.priority)
-        return queue.service_s * (place + 1) / limit
+        max_running = self._max_running(slots, ticket.priority)
+        return queue.mean_service_s * (position + 1) / max_running
 
-    def _fill(self, pool: str) -> None:
-        """Grants free slots, urgent requests first."""
+    def _grant_free_slots(self, pool: str) -> None:
+        """Grants free slots, to urgent requests first."""
         queue = self._queues_by_pool[pool]
         slots = self._slots_of(pool)
         while queue.urgent and queue.running < slots:
             self._grant(queue, queue.urgent.popleft())
-        drafts = self._limit(slots, DRAFT) if slots else 0
-        while not queue.urgent and queue.running < drafts:
-            waiter = queue.next_draft()
+        max_running = self._max_running(slots, DRAFT) if slots else 0
+        while not queue.urgent and queue.running < max_running:
+            waiter = queue.pop_draft()
             if waiter is None:
                 return
             self._grant(queue, waiter)
@@ -239,34 +242,36 @@
         queue.running += 1
         waiter.done.set_result(Granted())
 
-    def _sweep(self, pool: str, queue: _PoolQueue) -> None:
+    def _refuse_late(self, pool: str, queue: _PoolQueue) -> None:
         slots = self._slots_of(pool)
         waiting = [(i, waiter) for i, waiter in enumerate(queue.urgent)]
         waiting += list(queue.drafts_in_order())
-        for place, waiter in waiting:
+        for position, waiter in waiting:
             if not slots:
                 self._refuse(
                     queue, waiter, NotGranted("no_target", _NO_TARGET_RETRY_S)
                 )
                 continue
-            wait_s = self._expected_wait_s(queue, place, waiter.ticket, slots)
+            wait_s = self._expected_wait_s(
+                queue, position, waiter.ticket, slots
+            )
             if self._clock_s() + wait_s > waiter.ticket.deadline_at:
-                reason = NotGranted("expected_wait", max(wait_s, _MIN_RETRY_S))
-                self._refuse(queue, waiter, reason)
+                refusal = NotGranted("expected_wait", max(wait_s, _MIN_RETRY_S))
+                self._refuse(queue, waiter, refusal)
 
     def _refuse(
-        self, queue: _PoolQueue, waiter: _Waiter, reason: NotGranted
+        self, queue: _PoolQueue, waiter: _Waiter, refusal: NotGranted
     ) -> None:
         self._remove(queue, waiter)
         if not waiter.done.done():
-            waiter.done.set_result(reason)
+            waiter.done.set_result(refusal)
 
-    def _forget(self, queue: _PoolQueue, waiter: _Waiter) -> None:
-        """Cleans up after a caller that left while it waited."""
+    def _abandon(self, queue: _PoolQueue, waiter: _Waiter) -> None:
+        """Removes a cancelled request, and releases a slot granted to it."""
         granted = waiter.done.done() and not waiter.done.cancelled()
         if granted and isinstance(waiter.done.result(), Granted):
             queue.running -= 1
-            self._fill(waiter.ticket.pool)
+            self._grant_free_slots(waiter.ticket.pool)
             return
         self._remove(queue, waiter)
 
--- a/damaskcroft/routing/_back_pressure.py
+++ b/damaskcroft/routing/_back_pressure.py
@@ -1,9 +1,10 @@
-"""What targets ask of this entry in their answers: rest, and to be left.
+"""Back-off and draining, as targets announce them in their answers.
 
-Both hold for one start of a target, and for this entry alone: another one may
-be welcome there. After a rest one request goes first, and the others follow
-once it was answered, so that the rest doesn't end in a burst (a half-open
-circuit breaker; Nygard, "Release It!", 2007).
+Both apply to one start of a target (one run of its process), and to this entry
+alone: the target may still accept requests of other entries. After a back-off
+one request is sent first, and the others follow once it is answered, so that
+the back-off doesn't end in a burst (a half-open circuit breaker; Nygard,
+"Release It!", 2007).
 """
 
 import math
@@ -14,80 +15,81 @@
 
 __all__ = ["BackPressure"]
 
-# A target that asks for more is tried again by then: what it asks for may be a
-# mistake, or its load be gone.
-_MAX_REST_S = 300.0
+# A target that asks for a longer back-off is tried again after this time,
+# because its answer may be a mistake or its load may have gone.
+_MAX_BACK_OFF_S = 300.0
 
 
 class BackPressure:
-    """Targets that asked to be left alone, by their start.
+    """Targets in back-off and targets that drain, by the id of their start.
 
     Args:
-        drain_s: from the first word of leaving until nothing may be sent.
+        drain_s: time from a target's first announcement that it drains until
+            no request may arrive there.
     """
 
-    __slots__ = ("_half_open_ids", "_leaving_since", "_rests_until",
-                 "_used_while_leaving_s")  # fmt: skip
+    __slots__ = ("_half_open_ids", "_draining_since", "_back_off_until",
+                 "_usable_while_draining_s")  # fmt: skip
 
     def __init__(self, drain_s: float):
-        """Nobody has asked for anything yet."""
-        # A request that is sent now arrives a little later.
-        self._used_while_leaving_s = drain_s / 2
-        self._rests_until: dict[str, float] = {}
+        """Starts without back-off or draining."""
+        # Half of the time, because a request arrives later than it is sent.
+        self._usable_while_draining_s = drain_s / 2
+        self._back_off_until: dict[str, float] = {}
         self._half_open_ids: set[str] = set()
-        self._leaving_since: dict[str, float] = {}
+        self._draining_since: dict[str, float] = {}
 
     @property
     def is_any(self) -> bool:
-        """Whether any target has asked for anything; costs nothing to ask."""
-        return bool(self._rests_until or self._leaving_since)
+        """Whether any target has asked for back-off or drains; O(1)."""
+        return bool(self._back_off_until or self._draining_since)
 
     def rest(self, target_id: str, for_s: float) -> None:
-        """A target refused a request, and wants none for some seconds."""
-        until = now_s() + min(for_s, _MAX_REST_S)
-        known = self._rests_until.get(target_id, -math.inf)
-        self._rests_until[target_id] = max(until, known)
+        """Records that a target refused a request and asked for a back-off."""
+        until = now_s() + min(for_s, _MAX_BACK_OFF_S)
+        previous_until = self._back_off_until.get(target_id, -math.inf)
+        self._back_off_until[target_id] = max(until, previous_until)
         self._half_open_ids.add(target_id)
-        if known < now_s():
+        if previous_until < now_s():
             metrics.TARGETS_LEFT_ALONE.labels("rest").inc()
             log_event("target_rests", target=target_id, for_s=for_s)
 
     def leaving(self, target_id: str) -> None:
-        """A target said that it leaves."""
-        if target_id in self._leaving_since:
+        """Records that a target announced that it drains."""
+        if target_id in self._draining_since:
             return
-        self._leaving_since[target_id] = now_s()
+        self._draining_since[target_id] = now_s()
         metrics.TARGETS_LEFT_ALONE.labels("leaving").inc()
         log_event("target_says_leaving", target=target_id)
 
     def answered(self, target_id: str) -> None:
-        """A target took a request; one that was tried takes others again."""
+        """Records an accepted request, which ends the half-open state."""
         if self.rests_s(target_id) <= 0:
             self._half_open_ids.discard(target_id)
 
     def rests_s(self, target_id: str) -> float:
-        """For how long a target wants no request; 0 if it takes them."""
-        until = self._rests_until.get(target_id, -math.inf)
+        """Returns the remaining back-off of a target; 0 if there is none."""
+        until = self._back_off_until.get(target_id, -math.inf)
         return max(0.0, until - now_s())
 
     def takes_one(self, target_id: str) -> bool:
-        """Whether a target should get no second request beside a first."""
+        """Whether a target is half-open: it gets one request at a time."""
         return target_id in self._half_open_ids
 
     def is_leaving(self, target_id: str) -> bool:
-        """Whether a target said that it leaves; it stays so."""
-        return target_id in self._leaving_since
+        """Whether a target has announced that it drains, which is final."""
+        return target_id in self._draining_since
 
     def may_be_sent(self, target_id: str) -> bool:
-        """Whether a request may be sent to a target at all."""
+        """Whether back-off and draining allow a request to a target."""
         if self.rests_s(target_id) > 0:
             return False
-        since = self._leaving_since.get(target_id)
-        return since is None or now_s() - since < self._used_while_leaving_s
+        since = self._draining_since.get(target_id)
+        return since is None or now_s() - since < self._usable_while_draining_s
 
     def forget_all_but(self, target_ids: Collection[str]) -> None:
-        """Drops what is known of targets that are gone."""
-        for known in (self._rests_until, self._leaving_since):
-            for target_id in known.keys() - set(target_ids):
-                del known[target_id]
+        """Drops the state of targets that are gone."""
+        for times_by_id in (self._back_off_until, self._draining_since):
+            for target_id in times_by_id.keys() - set(target_ids):
+                del times_by_id[target_id]
         self._half_open_ids.intersection_update(target_ids)
--- a/damaskcroft/routing/_delays.py
+++ b/damaskcroft/routing/_delays.py
@@ -1,9 +1,9 @@
-"""How soon targets begin to answer, as one entry sees it.
+"""Answer delays of targets, as measured by one entry.
 
-Written for targets behind a link that has become narrow: what is sent there
-arrives late, and nothing but the answers' delay tells so. The quickest of the
-last answers is taken, since a target's own work delays some answers, but a
-slow link or a slow machine delays all.
+They reveal targets behind a link that has become narrow: what is sent there
+arrives late, and only the delay of the answers shows it. The shortest of the
+recent delays counts, because a target's own work delays some answers, but a
+slow link or a slow machine delays all of them.
 """
 
 import collections
@@ -14,113 +14,114 @@
 
 __all__ = ["AnswerDelays"]
 
-# Answers of so long ago tell of now: a loaded target gives each of a dozen
-# entries at least one answer in this time.
+# Answers up to this age describe the present: a loaded target gives each of a
+# dozen entries at least one answer in this time.
 _WINDOW_S = 2.0
-# A target that got nothing lately, perhaps since it was slow, is taken to be as
-# it was for this long: links and machines stay slow for some seconds.
+# A target that received nothing recently, perhaps because it was slow, is
+# assumed to be unchanged for this long: links and machines stay slow for some
+# seconds.
 _MEMORY_S = 10.0
-# Answers kept of each target; the quickest of them counts.
-_KEPT = 8
+# Maximum number of answers kept for each target; the fastest of them counts.
+_MAX_KEPT_ANSWERS = 8
 
 
-class _Seen:
-    __slots__ = ("answers", "given_up", "unanswered")
+class _TargetDelays:
+    __slots__ = ("answers", "abandoned", "unanswered")
 
     def __init__(self) -> None:
         self.answers: collections.deque[tuple[float, float]] = (
-            collections.deque(maxlen=_KEPT)
+            collections.deque(maxlen=_MAX_KEPT_ANSWERS)
         )
-        # When requests were given up, and how long they had waited in vain.
-        self.given_up: collections.deque[tuple[float, float]] = (
-            collections.deque(maxlen=_KEPT)
+        # When requests were abandoned, and how long they had waited.
+        self.abandoned: collections.deque[tuple[float, float]] = (
+            collections.deque(maxlen=_MAX_KEPT_ANSWERS)
         )
-        # When requests without an answer were sent, oldest first.
+        # Send times of requests that have no answer yet, oldest first.
         self.unanswered: dict[object, float] = {}
 
 
 class AnswerDelays:
     """Delays from sending a request to the head of its answer, by target."""
 
-    __slots__ = ("_seen_by_id",)
+    __slots__ = ("_delays_by_id",)
 
     def __init__(self) -> None:
-        """Knows of no target yet."""
-        self._seen_by_id: dict[str, _Seen] = {}
+        """Starts without measurements."""
+        self._delays_by_id: dict[str, _TargetDelays] = {}
 
     @contextlib.contextmanager
     def timed(self, target_id: str) -> Iterator[Callable[[], None]]:
-        """Counts a request that is being sent.
+        """Measures the delay of a request's answer.
 
         Args:
-            target_id: to which target.
+            target_id: the target that the request is sent to.
 
         Yields:
-            To be called when its answer begins.
+            A callback for the moment at which the answer begins.
         """
-        seen = self._seen_by_id.setdefault(target_id, _Seen())
+        delays = self._delays_by_id.setdefault(target_id, _TargetDelays())
         request = object()
         sent_at = now_s()
-        seen.unanswered[request] = sent_at
+        delays.unanswered[request] = sent_at
 
         def answered() -> None:
-            if seen.unanswered.pop(request, None) is not None:
+            if delays.unanswered.pop(request, None) is not None:
                 now = now_s()
-                seen.answers.append((now, now - sent_at))
+                delays.answers.append((now, now - sent_at))
 
         try:
             yield answered
         finally:
-            if seen.unanswered.pop(request, None) is not None:
+            if delays.unanswered.pop(request, None) is not None:
                 now = now_s()
-                seen.given_up.append((now, now - sent_at))
+                delays.abandoned.append((now, now - sent_at))
 
     def quickest_s(self, target_id: str) -> float:
-        """The quickest of a target's last answers, in seconds.
+        """Returns the shortest of a target's recent answer delays, in seconds.
 
-        Without one, the longest that a request has waited for an answer or
-        had when it was given up, or the quickest of older answers if that is
-        longer; 0 for a target of which nothing is known.
+        Without a recent answer, returns the longest that a request has waited
+        for one, including abandoned requests, or the shortest of the older
+        delays if that is longer; 0 for a target without measurements.
         """
-        seen = self._seen_by_id.get(target_id)
-        if seen is None:
+        delays = self._delays_by_id.get(target_id)
+        if delays is None:
             return 0.0
         now = now_s()
-        answers = _since(seen.answers, now - _WINDOW_S)
+        answers = _delays_since(delays.answers, now - _WINDOW_S)
         if answers:
             return min(answers)
-        oldest_at = next(iter(seen.unanswered.values()), now)
-        older = _since(seen.answers, now - _MEMORY_S)
+        oldest_at = next(iter(delays.unanswered.values()), now)
+        older = _delays_since(delays.answers, now - _MEMORY_S)
         return max(
             now - oldest_at,
-            *_since(seen.given_up, now - _MEMORY_S),
+            *_delays_since(delays.abandoned, now - _MEMORY_S),
             min(older, default=0.0),
         )
 
     def foreseen_s(self, target_id: str) -> float:
-        """What a request that is sent now takes at least, in seconds.
+        """Predicts the minimum answer delay of a request sent now, in seconds.
 
-        The quickest of the last answers may be of two seconds ago. Where
-        requests wait and none was answered since, they tell of now.
+        The fastest recent answer may be two seconds old. If requests wait and
+        none has been answered since, their wait describes the present.
         """
-        return max(self.quickest_s(target_id), self._silent_s(target_id))
+        return max(self.quickest_s(target_id), self._unanswered_s(target_id))
 
-    def _silent_s(self, target_id: str) -> float:
-        """For how long no answer has come while one was awaited."""
-        seen = self._seen_by_id.get(target_id)
-        if seen is None or not seen.unanswered:
+    def _unanswered_s(self, target_id: str) -> float:
+        """Returns for how long requests have waited without any answer."""
+        delays = self._delays_by_id.get(target_id)
+        if delays is None or not delays.unanswered:
             return 0.0
-        last_at = seen.answers[-1][0] if seen.answers else float("-inf")
-        return now_s() - max(last_at, next(iter(seen.unanswered.values())))
+        last_at = delays.answers[-1][0] if delays.answers else float("-inf")
+        return now_s() - max(last_at, next(iter(delays.unanswered.values())))
 
     def forget_all_but(self, target_ids: Collection[str]) -> None:
-        """Drops what is known of targets that are gone."""
-        for target_id in list(self._seen_by_id):
+        """Drops the measurements of targets that are gone."""
+        for target_id in list(self._delays_by_id):
             if target_id not in target_ids:
-                del self._seen_by_id[target_id]
+                del self._delays_by_id[target_id]
 
 
-def _since(
-    waits: collections.deque[tuple[float, float]], begin: float
+def _delays_since(
+    samples: collections.deque[tuple[float, float]], begin: float
 ) -> list[float]:
-    return [took_s for at, took_s in waits if at > begin]
+    return [took_s for at, took_s in samples if at > begin]
--- a/damaskcroft/routing/_parted_targets.py
+++ b/damaskcroft/routing/_parted_targets.py
@@ -1,9 +1,9 @@
-"""Which targets an entry sends suspect requests to first.
+"""Partition of targets among entries, for sending suspect requests.
 
-Entries that each choose the emptiest target choose the same one. Should one
-of two suspects there crash it, the other has lost its last attempt. So each
-target belongs to one of the entries, by its id: no message is needed, and two
-entries that know different names only choose as if there were no parts.
+Entries that each choose the emptiest target choose the same one. If one of two
+suspect requests there crashes it, the other has lost its last attempt. So each
+target is assigned to one of the entries, by its id. This needs no message, and
+entries that know different names only choose as if there were no partition.
 """
 
 import hashlib
@@ -15,36 +15,37 @@
 
 
 class PartedTargets:
-    """The targets of a fleet, parted among its entries.
+    """Assigns each target of a fleet to one of its entries.
 
     Args:
-        own_name: the entry's.
-        names: of all entries; may lack its own.
+        own_name: name of this entry.
+        names: returns the names of all entries; its own may be missing.
     """
 
-    __slots__ = ("_count", "_names", "_own_name", "_place", "_told_names")
+    __slots__ = ("_count", "_names", "_own_name", "_index", "_last_names")
 
     def __init__(self, own_name: str, names: Callable[[], frozenset[str]]):
-        """See the class."""
+        """Starts with this entry as the only one."""
         self._own_name = own_name
         self._names = names
-        self._told_names: frozenset[str] = frozenset()
-        # How many entries there are, and the place of this one among them.
-        self._count, self._place = 1, 0
+        self._last_names: frozenset[str] = frozenset()
+        # Number of entries, and the index of this one among them.
+        self._count, self._index = 1, 0
 
     def is_own(self, target_id: str) -> bool:
-        """Whether a target is this entry's to send suspects to."""
+        """Whether a target is assigned to this entry for suspect requests."""
         names = self._names()
-        # Asked for each target; the same names are usually the same object.
-        if names is not self._told_names:
-            self._told_names = names
-            everyone = sorted(names | {self._own_name})
-            self._count = len(everyone)
-            self._place = everyone.index(self._own_name)
-        return _number(target_id) % self._count == self._place
-
-
-def _number(target_id: str) -> int:
-    """The same one everywhere; ids that differ by a digit fall apart."""
+        # An identity check is enough and cheap: this runs for each target, and
+        # unchanged names are usually the same object.
+        if names is not self._last_names:
+            self._last_names = names
+            all_names = sorted(names | {self._own_name})
+            self._count = len(all_names)
+            self._index = all_names.index(self._own_name)
+        return _hash(target_id) % self._count == self._index
+
+
+def _hash(target_id: str) -> int:
+    """Hashes an id, equally at all entries and unrelated for similar ids."""
     digest = hashlib.blake2b(target_id.encode(), digest_size=_DIGEST_BYTES)
     return int.from_bytes(digest.digest())
--- a/damaskcroft/routing/_placement.py
+++ b/damaskcroft/routing/_placement.py
@@ -1,10 +1,10 @@
-"""Which target of a service a request is sent to.
+"""Selection of the target of a service that a request is sent to.
 
 An engine reads prompts one after another, before their first tokens, and
-between the tokens of all that it is writing. On heavy days requests were late
-for prompts that waited before theirs in the engine, not for want of slots. So
-an entry has few prompts unread at each engine, and the others wait in the
-line, where whoever can still be in time goes first.
+between the tokens of all answers that it writes. On days of high load requests
+were late because of prompts ahead of theirs in the engine, not because of a
+lack of slots. So an entry keeps few prompts unread at each engine, and the
+others wait in the queue, where requests that can still be in time go first.
 """
 
 import asyncio
@@ -18,22 +18,22 @@
 
 __all__ = ["Candidate", "Placement", "Placer", "Slot"]
 
-# Place in a target's rank.
-_WITHOUT_ROOM = 1
-# Of a target that nothing was sent to and that has told nothing.
-_UNKNOWN = TargetLoad()
-# A target with this many requests for each slot is full: more would wait
-# there, in the order in which they came.
-FULL = 1.0
-# Prompts that may be unread at one engine, as the time that it takes to read
-# them, over all entries: with the steps between which they are read, first
-# events come within a third of a second then.
+# Index, in a target's rank, of whether it has no room.
+_NO_ROOM_INDEX = 1
+# Load of a target without requests from here and without a report.
+_UNKNOWN_LOAD = TargetLoad()
+# A target with this many requests per slot is full: further ones would wait
+# there, first come, first served.
+_FULL = 1.0
+# Bound on the prompts unread at one engine, as the time to read them, over all
+# entries: together with the steps between which they are read, first events
+# then come within a third of a second.
 _MAX_UNREAD_S = 0.12
 
-# A target whose quickest answers take this long is behind a narrow link, or on
-# a slow machine: others with room go before it. Goals for first events are
-# below it, and answers of a full engine are quicker.
-_SLOW_S = 0.5
+# A target whose fastest answers take this long is behind a narrow link, or on a
+# slow machine: others with room are preferred. Latency objectives for first
+# events are shorter than this, and so are the answer delays of a full engine.
+_SLOW_ANSWER_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -41,16 +41,16 @@
     """A target that could run a request.
 
     Attributes:
-        id: one start of the target: what is believed of it holds for that
-            start alone.
-        address: where it listens.
-        failure_domain: where it stands.
+        id: id of one start of the target (one run of its process); all state
+            about the target applies to that start alone.
+        address: address that it listens on.
+        failure_domain: its failure domain.
         region: region of its failure domain.
-        slots: requests that it runs at once.
-        prompt_tokens_s: how fast it reads prompts; 0 where it reads none.
-        target_id: the target's own id, which it may keep over a restart.
-        born_ms: when that start began, in Unix milliseconds; 0 where the
-            target doesn't tell.
+        slots: number of requests that it runs at once.
+        prompt_tokens_s: rate at which it reads prompts; 0 if it reads none.
+        target_id: the target's own id, which may stay the same over a restart.
+        born_ms: time at which that start began, in Unix milliseconds; 0 if the
+            target doesn't report it.
     """
 
     id: str
@@ -64,12 +64,12 @@
 
 
 class Slot:
-    """A request's place at a target, as its entry counts it."""
+    """A slot of a request at a target, as its entry counts it."""
 
     __slots__ = ("_is_suspect", "_is_taken", "_load", "_unread_tokens")
 
     def __init__(self, load: TargetLoad, prompt_tokens: int, is_suspect: bool):
-        """Takes a place in `load`."""
+        """Counts a request in `load`."""
         self._load = load
         self._is_suspect = is_suspect
         load.suspects += is_suspect
@@ -79,10 +79,10 @@
         load.unread_tokens += prompt_tokens
 
     def read(self) -> bool:
-        """The target has read the prompt, since its answer has begun.
+        """Records that the target has read the prompt, as its answer begins.
 
         Returns:
-            Whether that is news.
+            Whether it had not been recorded before.
         """
         if not self._unread_tokens:
             return False
@@ -91,7 +91,7 @@
         return True
 
     def give_back(self) -> None:
-        """The request has left the target; once is enough."""
+        """Records that the request has left the target; idempotent."""
         self.read()
         if self._is_taken:
             self._is_taken = False
@@ -105,8 +105,8 @@
 
     Attributes:
         candidate: the target.
-        fullness: its estimated load in slots; 1 means that all are taken.
-        has_room: whether a request sent now should soon be answered.
+        fullness: its estimated requests per slot; 1 means that it is full.
+        has_room: whether a request sent now should be answered soon.
     """
 
     candidate: Candidate
@@ -115,7 +115,7 @@
 
 
 class Placer:
-    """Chooses the target that is emptiest for its size, nearest first."""
+    """Chooses the least full target, and the nearest of equals."""
 
     def __init__(
         self,
@@ -130,20 +130,21 @@
         is_own: Callable[[str], bool] = lambda _: True,
         unread_bound: UnreadBound | None = None,
     ):
-        """Chooses for an entry in a failure domain of a region.
+        """Starts without requests at any target.
 
         Args:
-            failure_domain: the entry's.
-            region: the entry's.
-            outliers: targets that failed.
+            failure_domain: failure domain of this entry.
+            region: region of this entry.
+            outliers: targets that are ejected after failures.
             rng: decides between equals.
-            answer_delay_s: how soon a target answers, by its id.
-            takes_one: whether a target takes one request at a time now.
-            is_spared: whether other targets with room go before one.
-            is_due: whether one goes before others with room.
-            is_own: whether no other entry sends suspects to a target first.
-            unread_bound: what engines may have unread; by default one that
-                follows first events.
+            answer_delay_s: returns the answer delay of a target, by its id.
+            takes_one: whether a target gets one request at a time now.
+            is_spared: whether other targets with room come before a target.
+            is_due: whether a target comes before others with room.
+            is_own: whether a target is assigned to this entry for suspect
+                requests.
+            unread_bound: bound on unread prompts; by default one that follows
+                the time to first event.
         """
         self._is_spared = is_spared
         self._is_due = is_due
@@ -156,7 +157,7 @@
         self._outliers = outliers
         self._rng = rng or random.Random()
         self._loads = TargetLoads()
-        # How many entries share the targets.
+        # Number of entries that share the targets.
         self.entries = 1
 
     def choose(
@@ -167,23 +168,22 @@
         *,
         is_suspect: bool = False,
     ) -> Placement | None:
-        """The best target, or None if every one is excluded.
+        """Returns the best target, or None if every one is excluded.
 
-        Targets that are put aside after failures come last, those without
-        room before them, then those to be spared; one that is due comes
-        first. One that has a suspect
-        request under way is avoided: should it crash, few others are lost, and
-        no second suspect with it.
+        Ejected targets come last, those without room before them, and spared
+        ones before those; a target that is due comes first. A target with a
+        suspect request under way is avoided: if it crashes, few other requests
+        are lost, and no second suspect request is among them.
 
         Args:
-            candidates: all that could run the request.
-            excluded: ids of those that it shall not be sent to.
+            candidates: all targets that could run the request.
+            excluded: ids of targets that it must not be sent to.
             prompt_tokens: length of its prompt.
-            is_suspect: whether a target has crashed under it.
+            is_suspect: whether the request ran on a target that crashed.
         """
         candidates = list(candidates)
         now = asyncio.get_running_loop().time()
-        usual = self._loads.usual_fullness(
+        assumed = self._loads.assumed_fullness(
             ((each.id, each.slots) for each in candidates), now
         )
         best = None
@@ -193,9 +193,9 @@
             readable_tokens += candidate.prompt_tokens_s * _MAX_UNREAD_S
             if candidate.id in excluded:
                 continue
-            load = self._loads.find(candidate.id) or _UNKNOWN
-            fullness = load.fullness(candidate.slots, usual, now)
-            has_room = fullness < FULL and self._has_room(
+            load = self._loads.find(candidate.id) or _UNKNOWN_LOAD
+            fullness = load.fullness(candidate.slots, assumed, now)
+            has_room = fullness < _FULL and self._has_room(
                 candidate, load, prompt_tokens
             )
             rank = self._rank(candidate, load, fullness, has_room, is_suspect)
@@ -203,30 +203,28 @@
                 best, best_rank, best_fullness = candidate, rank, fullness
         if best is None:
             return None
-        has_room = not best_rank[_WITHOUT_ROOM] and self._has_part_left(
+        has_room = not best_rank[_NO_ROOM_INDEX] and self._fits_share(
             readable_tokens, prompt_tokens
         )
         return Placement(best, best_fullness, has_room)
 
-    def _has_part_left(
-        self, readable_tokens: float, prompt_tokens: int
-    ) -> bool:
-        """Whether this entry has unread prompts left of its part of the fleet.
+    def _fits_share(self, readable_tokens: float, prompt_tokens: int) -> bool:
+        """Whether a prompt fits into this entry's share of unread prompts.
 
-        With one at each target, many entries would keep all of them reading
-        for longer than callers wait for a first event.
+        With one prompt at each target from each of many entries, all targets
+        would be reading for longer than callers wait for a first event.
         """
         if not readable_tokens:
             return True
         unread_tokens = self._loads.unread_tokens
         if not unread_tokens:
             return True
-        part_tokens = readable_tokens * self._unread_bound.part
-        return unread_tokens + prompt_tokens <= part_tokens
+        share_tokens = readable_tokens * self._unread_bound.share
+        return unread_tokens + prompt_tokens <= share_tokens
 
     def fullness(self, candidate: Candidate) -> float:
-        """Estimated requests at a target for each of its slots."""
-        load = self._loads.find(candidate.id) or _UNKNOWN
+        """Returns the estimated number of requests per slot of a target."""
+        load = self._loads.find(candidate.id) or _UNKNOWN_LOAD
         now = asyncio.get_running_loop().time()
         return load.fullness(candidate.slots, 0.0, now)
 
@@ -237,38 +235,40 @@
         *,
         is_suspect: bool = False,
     ) -> Slot:
-        """Takes a place for a request that is about to be sent.
+        """Takes a slot for a request that is about to be sent.
 
         Args:
-            candidate: where to.
+            candidate: the target that it is sent to.
             prompt_tokens: length of its prompt.
-            is_suspect: whether a target has crashed under it.
+            is_suspect: whether the request ran on a target that crashed.
         """
-        return Slot(self._loads.of(candidate.id), prompt_tokens, is_suspect)
+        return Slot(
+            self._loads.get_or_add(candidate.id), prompt_tokens, is_suspect
+        )
 
     def first_answered(self, took_s: float, goal_s: float) -> None:
-        """Takes how long an engine needed to begin; see UnreadBound.note."""
+        """Records the time to first event, as described in UnreadBound.note."""
         self._unread_bound.note(took_s, goal_s)
 
     def told(self, target_id: str, requests: int) -> None:
-        """Takes a target's own word on how many requests it has."""
-        self._loads.told(target_id, requests)
+        """Records the number of requests that a target reports."""
+        self._loads.record_report(target_id, requests)
 
     def forget_all_but(self, target_ids: Collection[str]) -> None:
-        """Drops what is known of targets that are gone."""
+        """Drops the loads of targets that are gone."""
         self._loads.forget_all_but(target_ids)
 
     def _has_room(
         self, candidate: Candidate, load: TargetLoad, prompt_tokens: int
     ) -> bool:
-        """Whether a target that isn't full may be sent a prompt now."""
+        """Whether a target that isn't full may receive a prompt now."""
         if load.outstanding and self._takes_one(candidate.id):
             return False
         if not load.unread_tokens:
             return True
         unread_tokens = load.unread_tokens + prompt_tokens
-        most_tokens = candidate.prompt_tokens_s * _MAX_UNREAD_S
-        return unread_tokens <= most_tokens / max(1, self.entries)
+        max_unread_tokens = candidate.prompt_tokens_s * _MAX_UNREAD_S
+        return unread_tokens <= max_unread_tokens / max(1, self.entries)
 
     def _rank(
         self,
@@ -285,8 +285,8 @@
             is_suspect or not self._is_due(candidate.id),
             load.suspects > 0,
             is_suspect and not self._is_own(candidate.id),
-            self._answer_delay_s(candidate.id) > _SLOW_S,
-            # Steps of a tenth, so that distance decides between equals.
+            self._answer_delay_s(candidate.id) > _SLOW_ANSWER_S,
+            # Rounded to tenths, so that distance decides between near equals.
             round(fullness, 1),
             self._distance(candidate),
             self._rng.random(),
--- a/damaskcroft/routing/_pools.py
+++ b/damaskcroft/routing/_pools.py
@@ -1,4 +1,4 @@
-"""Which targets can answer for a model or a plain service now."""
+"""Pools: the targets that can answer for a model or a plain service now."""
 
 import dataclasses
 import math
@@ -9,15 +9,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """One target that takes requests, as the roster tells.
+    """One target that accepts requests, according to the roster.
 
     Attributes:
-        id: its agent's id.
-        incarnation: its agent process.
-        address: its agent's gRPC address.
+        id: id of its agent.
+        incarnation: incarnation of its agent's process.
+        address: gRPC address of its agent.
         region: its district.
-        slots: requests it runs at once.
-        manifest: the version it serves; empty for a plain service.
+        slots: number of requests that it runs at once.
+        manifest: the version that it serves; empty for a plain service.
     """
 
     id: str
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pool:
-    """Targets that answer for one name."""
+    """Targets that answer for one model or service."""
 
     name: str
     targets: tuple[Target, ...]
@@ -40,12 +40,12 @@
 class PoolTable:
     """Pools by name, rebuilt when the roster changes.
 
-    A pool's slots are this entry's share: all slots, split evenly between the
-    entries that hold a lease.
+    A pool's slots are this entry's share: all slots of its targets, split
+    evenly between the entries that hold a lease.
     """
 
     def __init__(self, roster: Roster):
-        """Reads from `roster`."""
+        """Starts empty; the pools are built from `roster`."""
         self._roster = roster
         self._pools_by_name: dict[str, Pool] = {}
         self._announced_services: set[str] = set()
@@ -53,21 +53,21 @@
         self._names_revision = 0
 
     async def run(self) -> None:
-        """Follows the roster until cancelled."""
+        """Rebuilds the pools at each change of the roster, until cancelled."""
         while True:
             self.rebuild()
             async with self._roster.changed:
                 await self._roster.changed.wait()
 
     def pool(self, name: str) -> Pool:
-        """The pool of a model or service; empty when none serves it."""
+        """Returns the pool of a model or service; empty if none serves it."""
         return self._pools_by_name.get(name, Pool(name, (), 0))
 
     def is_known(self, name: str) -> bool:
-        """Whether any target or record speaks of a name.
+        """Whether any target, assignment or record contains a name.
 
-        A service whose targets are all away is known, and so is a model that
-        no target has yet: whoever asks for it should come back.
+        A service whose targets are all gone is known, and so is a model that no
+        target has loaded yet: callers that request it should retry.
         """
         if name in self._pools_by_name or name in self._announced_services:
             return True
@@ -80,7 +80,7 @@
         )
 
     def find(self, target_id: str) -> Target | None:
-        """A target of any pool, by its id."""
+        """Returns a target of any pool by its id; None if there is none."""
         for pool in self._pools_by_name.values():
             for target in pool.targets:
                 if target.id == target_id:
@@ -88,7 +88,7 @@
         return None
 
     def rebuild(self) -> None:
-        """Reads the roster anew."""
+        """Rebuilds the pools from the roster."""
         self._rebuild_names()
         targets_by_name: dict[str, list[Target]] = {}
         for agent in self._roster.live_agents():
@@ -122,7 +122,7 @@
         }
 
     def _rebuild_names(self) -> None:
-        """Names that don't hang on who serves now; reports don't change."""
+        """Updates names that don't depend on reports, at a new revision."""
         if self._names_revision == self._roster.revision:
             return
         self._names_revision = self._roster.revision
@@ -137,10 +137,10 @@
 
 
 def _pool_name(service: str, name: str) -> str:
-    # A model and a service may share a name without meeting.
+    # The prefix keeps a model and a service of the same name apart.
     return service_pool(name) if service else name
 
 
 def service_pool(service: str) -> str:
-    """The pool name of a plain service."""
+    """Returns the pool name of a plain service."""
     return f"service/{service}"
--- a/damaskcroft/routing/_queue.py
+++ b/damaskcroft/routing/_queue.py
@@ -1,11 +1,11 @@
-"""Requests that wait at an entry while every target of a service is full.
-
-Written for loads above what the targets can carry for some seconds: many
-users at once, targets lost, or new ones still empty. A target's own queue is
-first come, first served, so that under such a load every answer comes late.
-Here whoever can still be answered in time goes first; those who can't any
-more wait for the room that is left, and are told when to come back before
-most of their time is gone, or at once where such a queue doesn't pass.
+"""The queue of requests at an entry while every target of a service is full.
+
+It is for loads above the capacity of the targets that last some seconds: many
+users at once, lost targets, or new targets that are still empty. A target's own
+queue is first come, first served, so that under such a load every answer is
+late. Here requests that can still be answered in time go first. The others
+wait for the remaining capacity, and are refused with a Retry-After before most
+of their time has passed, or at once during a standing queue.
 """
 
 import asyncio
@@ -27,309 +27,321 @@
 
 __all__ = ["RequestQueue"]
 
-# Share of a goal that is kept back for the target at most: where targets take
-# longer than the goal, somebody must still go first.
-_MAX_FIRST_SHARE = 0.9
-# Over which the rate at which slots are given is measured, to foresee how long
-# a wait is; a pause of some tenths of a second, as when versions change, is not
-# taken for a lower rate.
+# Maximum share of the latency objective that is reserved for the target: if
+# targets take longer than the objective, some request must still go first.
+_MAX_FIRST_ANSWER_SHARE = 0.9
+# Window over which the rate of granted slots is measured, to predict waits. It
+# is long enough that a pause of some tenths of a second, as when versions
+# change, is not taken for a lower rate.
 _RATE_WINDOW_S = 2.0
-# Times kept for that: ten times what an entry gives out in that time.
-_MAX_GIVEN = 1000
-# With fewer of them nothing is known of the rate: right after a pause, or at a
-# start, the first few don't tell how many follow.
-_MIN_GIVEN = 8
-# Slots given at one moment are taken to be spread over this time: what a full
-# target's passes take.
-_MIN_SPAN_S = 0.1
-# Waits above this are told of while they last, since whoever waits when the
-# process ends leaves no other line in the log. Well below what a request waits
-# before it is refused, and above some steps of a batch, after which a full
-# target has room.
+# Maximum number of grant times kept for this: ten times the number of slots
+# that an entry grants in the window.
+_MAX_GRANT_TIMES = 1000
+# With fewer grants in the window the rate is unknown: right after a pause or a
+# start, the first few don't show how many follow.
+_MIN_GRANT_TIMES = 8
+# Slots granted at one moment are assumed to be spread over this time, which is
+# how long the passes of a full target take.
+_MIN_GRANT_SPAN_S = 0.1
+# Longer waits are logged while they last, because a request that waits when the
+# process ends leaves no other line in the log. The value is well below the time
+# after which a request is refused, and above some steps of a batch, after which
+# a full target has room.
 _LONG_WAIT_S = 0.25
-# Until a target that takes requests again is looked at, at the least: what was
-# foreseen may be short by a rounding error.
-_LEAST_LOOK_S = 0.01
-# What is wanting for one request holds for others of its kind this long, since
-# many are refused in one moment: as often as the queue is looked at anyhow.
-_SHORTAGE_HOLDS_S = 0.1
+# Minimum delay before polling for a target that accepts requests again: the
+# predicted time may be too short by a rounding error.
+_MIN_POLL_DELAY_S = 0.01
+# Time for which the refusal reason of one request is reused for others of the
+# same service and model, because many are refused at one moment. It is the
+# interval at which the queue is served anyway.
+_REASON_CACHE_S = 0.1
 
 
-class _Waiting:
-    __slots__ = ("is_told", "outcome", "ticket")
+class _QueuedRequest:
+    __slots__ = ("is_reported", "outcome", "ticket")
 
     def __init__(self, ticket: QueueTicket):
         self.ticket = ticket
-        self.is_told = False
+        self.is_reported = False
         self.outcome: asyncio.Future[SlotTaken | Overloaded] = (
             asyncio.get_running_loop().create_future()
         )
 
 
-class _Waits(enum.Enum):
-    """What the first in the queue waits for."""
+class _WaitsFor(enum.Enum):
+    """What the first request of the queue waits for."""
 
-    FOR_ROOM = enum.auto()
-    # One that may soon take requests again, after which those who are late by
-    # it are still to be served.
-    FOR_TARGET = enum.auto()
+    ROOM = enum.auto()
+    # A target that may soon accept requests again; requests that are late by
+    # then are still served.
+    TARGET_AVAILABLE = enum.auto()
 
 
 class RequestQueue:
-    """Gives out slots of full services.
+    """Grants slots of targets to requests, which wait while targets are full.
 
     Args:
-        choose: the best target for a ticket now, or None if there is none.
+        choose: returns the best target for a ticket now, or None if there is
+            none.
         take: takes a slot of a target for a ticket's request.
-        may_come: whether a target that can't serve a ticket now may soon, as
-            when its weights are about to change; worth waiting for.
-        closed: why no target that could serve a ticket takes it, given how
-            many go before it; None if there is one that does, or none at all.
-        refuses_late: whether those who can't be in time are refused at once
-            while a queue stands.
+        may_become_available: whether a target that cannot serve a ticket now
+            may do so soon, as when its weights are about to change, so that the
+            request waits for it.
+        closed: why no target that could serve a ticket accepts it, given the
+            number of requests ahead of it; None if a target accepts it, or if
+            no target could serve it.
+        refuses_late: whether requests that cannot be in time are refused at
+            once during a standing queue.
     """
 
     def __init__(
         self,
         choose: Callable[[QueueTicket], Placement | None],
         take: Callable[[Candidate, QueueTicket], Slot],
-        may_come: Callable[[QueueTicket], bool] = lambda _: False,
+        may_become_available: Callable[[QueueTicket], bool] = lambda _: False,
         closed: Callable[
             [QueueTicket, int], Closed | None
-        ] = lambda ticket, before: None,
+        ] = lambda ticket, count_ahead: None,
         *,
         refuses_late: bool = True,
     ):
-        """Begins with nobody waiting."""
+        """Starts empty."""
         self._refuses_late = refuses_late
         self._closed = closed
-        self._may_come = may_come
+        self._may_become_available = may_become_available
         self._choose = choose
         self._take = take
-        self._waiting_by_service: dict[str, list[_Waiting]] = {}
-        self._given_at_by_service: dict[str, collections.deque[float]] = {}
-        self._late_by_service: dict[str, LateSpan] = {}
-        self._shortage_by_kind: dict[tuple[str, str], str] = {}
-        self._shortage_since = float("-inf")
+        self._waiting_by_service: dict[str, list[_QueuedRequest]] = {}
+        self._grant_times_by_service: dict[str, collections.deque[float]] = {}
+        self._late_spans_by_service: dict[str, LateSpan] = {}
+        self._reasons_by_kind: dict[tuple[str, str], str] = {}
+        self._reasons_since = float("-inf")
         self._first_answers = FirstAnswers()
-        self._next_look: asyncio.TimerHandle | None = None
+        self._next_poll: asyncio.TimerHandle | None = None
 
     def first_answered(self, service: str, took_s: float) -> None:
-        """Takes how long a target took to begin its answer; see FirstAnswers.
+        """Records how long a target took to begin its answer.
 
-        A fixed time would let those go first who are about to be late: the
-        more there are, the later all of them come.
+        With a fixed time instead of `FirstAnswers`, requests that are about to
+        be late would go first: the more of them there are, the later the
+        answers of all are.
         """
         self._first_answers.note(service, took_s)
 
     async def take_slot(self, ticket: QueueTicket) -> SlotTaken | Overloaded:
-        """Takes a slot, at once if one is free and nobody waits."""
+        """Takes a slot, at once if one is free and no request waits."""
         waiting = self._waiting_by_service.get(ticket.service, [])
         if not waiting:
             outcome = self._outcome_now(ticket, 0)
-            if not isinstance(outcome, _Waits):
+            if not isinstance(outcome, _WaitsFor):
                 return outcome
-        before = self._count_before(ticket)
-        foreseen_s = self._foreseen_wait_s(ticket.service, before)
-        closed = self._closed(ticket, before)
+        count_ahead = self._count_ahead(ticket)
+        expected_wait_s = self._expected_wait_s(ticket.service, count_ahead)
+        closed = self._closed(ticket, count_ahead)
         if closed is not None:
-            foreseen_s = max(foreseen_s, closed.room_s)
+            expected_wait_s = max(expected_wait_s, closed.available_in_s)
         now = now_s()
-        if foreseen_s > self._waits_until(ticket, now) - now:
-            return self._refused(ticket, len(waiting))
-        joined = _Waiting(ticket)
+        if expected_wait_s > self._wait_deadline(ticket, now) - now:
+            return self._refuse(ticket, len(waiting))
+        request = _QueuedRequest(ticket)
         waiting = self._waiting_by_service.setdefault(ticket.service, [])
-        waiting.append(joined)
+        waiting.append(request)
         try:
-            return await joined.outcome
+            return await request.outcome
         except asyncio.CancelledError:
-            # The caller left at the moment at which it got its slot.
-            self._return_slot(joined)
+            # The caller may have been granted its slot as it was cancelled.
+            self._return_slot(request)
             raise
         finally:
-            if joined in waiting:
-                waiting.remove(joined)
+            if request in waiting:
+                waiting.remove(request)
 
-    def _return_slot(self, joined: _Waiting) -> None:
-        if not joined.outcome.done() or joined.outcome.cancelled():
+    def _return_slot(self, request: _QueuedRequest) -> None:
+        if not request.outcome.done() or request.outcome.cancelled():
             return
-        outcome = joined.outcome.result()
+        outcome = request.outcome.result()
         if isinstance(outcome, SlotTaken):
             outcome.slot.give_back()
 
     def serve(self) -> None:
-        """Gives free slots to those who wait; to be called when any may be.
+        """Grants free slots to waiting requests; called when any may be free.
 
-        Targets that rest, or that take so many a second, are looked at in time
-        without a call.
+        For targets in back-off or with a rate limit, the queue is served at the
+        right time without a call.
         """
         for service, waiting in list(self._waiting_by_service.items()):
             self._serve(waiting)
             if not waiting:
                 del self._waiting_by_service[service]
 
-    def _look_after(self, room_s: float) -> None:
-        """Serves in the moment in which a target takes a request again.
+    def _schedule_poll(self, available_in_s: float) -> None:
+        """Serves the queue at the moment at which a target accepts a request.
 
-        Who waits was let in by these moments: with each that is missed, one
-        more is refused who has waited.
+        Requests are admitted to the queue on the basis of these moments: for
+        each one that is missed, one more request is refused after its wait.
         """
-        if room_s <= 0:
-            # Something else is wanting; a look now would find the same.
+        if available_in_s <= 0:
+            # There is another shortage, which a poll now would find again.
             return
         loop = asyncio.get_running_loop()
-        at = loop.time() + max(room_s, _LEAST_LOOK_S)
-        if self._next_look is not None:
-            if self._next_look.when() <= at:
+        at = loop.time() + max(available_in_s, _MIN_POLL_DELAY_S)
+        if self._next_poll is not None:
+            if self._next_poll.when() <= at:
                 return
-            self._next_look.cancel()
-        self._next_look = loop.call_at(at, self._look)
+            self._next_poll.cancel()
+        self._next_poll = loop.call_at(at, self._poll)
 
-    def _look(self) -> None:
-        self._next_look = None
+    def _poll(self) -> None:
+        self._next_poll = None
         self.serve()
 
     def newly_long(self) -> list[LongWait]:
-        """Who has waited for long since this was asked last; each once."""
+        """Returns requests that have begun to wait for long; each only once."""
         since = now_s() - _LONG_WAIT_S
-        found = []
+        long_waits = []
         for waiting in self._waiting_by_service.values():
-            for joined in waiting:
-                if joined.is_told or joined.ticket.arrived_at > since:
+            for request in waiting:
+                if request.is_reported or request.ticket.arrived_at > since:
                     continue
-                joined.is_told = True
-                reason = self._shortage(joined.ticket)
-                found.append(LongWait(joined.ticket, reason, len(waiting)))
-        return found
-
-    def _serve(self, waiting: list[_Waiting]) -> None:
+                request.is_reported = True
+                reason = self._refusal_reason(request.ticket)
+                long_waits.append(
+                    LongWait(request.ticket, reason, len(waiting))
+                )
+        return long_waits
+
+    def _serve(self, waiting: list[_QueuedRequest]) -> None:
         now = now_s()
-        waiting.sort(key=lambda joined: self._rank(joined.ticket, now))
+        waiting.sort(key=lambda request: self._rank(request.ticket, now))
         while waiting:
-            joined = waiting[0]
-            outcome = self._outcome_now(joined.ticket, len(waiting))
-            if outcome is _Waits.FOR_ROOM:
+            request = waiting[0]
+            outcome = self._outcome_now(request.ticket, len(waiting))
+            if outcome is _WaitsFor.ROOM:
                 self._note_late(waiting, now)
-            if isinstance(outcome, _Waits):
+            if isinstance(outcome, _WaitsFor):
                 break
             waiting.pop(0)
-            if not joined.outcome.done():
-                joined.outcome.set_result(outcome)
-        for joined in list(waiting):
-            if now >= self._waits_until(joined.ticket, now):
-                waiting.remove(joined)
-                if not joined.outcome.done():
-                    refused = self._refused(joined.ticket, len(waiting))
-                    joined.outcome.set_result(refused)
-
-    def _note_late(self, waiting: list[_Waiting], now: float) -> None:
-        """Notes whether some of a service's queue wait in vain."""
-        if any(self._is_late(joined.ticket, now) for joined in waiting):
+            if not request.outcome.done():
+                request.outcome.set_result(outcome)
+        for request in list(waiting):
+            if now >= self._wait_deadline(request.ticket, now):
+                waiting.remove(request)
+                if not request.outcome.done():
+                    refused = self._refuse(request.ticket, len(waiting))
+                    request.outcome.set_result(refused)
+
+    def _note_late(self, waiting: list[_QueuedRequest], now: float) -> None:
+        """Records if some requests of a service's queue cannot be in time."""
+        if any(self._is_late(request.ticket, now) for request in waiting):
             service = waiting[0].ticket.service
-            self._late_by_service.setdefault(service, LateSpan()).note(now)
+            self._late_spans_by_service.setdefault(
+                service, LateSpan()
+            ).note_late(now)
 
-    def _waits_until(self, ticket: QueueTicket, now: float) -> float:
-        """When a ticket is told to come back.
+    def _wait_deadline(self, ticket: QueueTicket, now: float) -> float:
+        """Returns the time at which a ticket is refused with a Retry-After.
 
-        While more come than targets carry, nobody waits who can't be in time:
-        the work on it would make another one late (as CoDel drops what a
-        standing queue holds; Nichols and Jacobson, "Controlling Queue Delay",
-        2012).
+        While the load exceeds the capacity of the targets, requests that cannot
+        be in time don't wait: the work on one would make another one late (as
+        CoDel drops packets of a standing queue; Nichols and Jacobson,
+        "Controlling Queue Delay", 2012).
         """
-        span = self._late_by_service.get(ticket.service)
-        stands = span is not None and span.stands(now)
-        if not stands or not self._refuses_late:
-            return ticket.waits_until
-        return min(ticket.waits_until, self._in_time_until(ticket))
+        span = self._late_spans_by_service.get(ticket.service)
+        is_standing = span is not None and span.is_standing(now)
+        if not is_standing or not self._refuses_late:
+            return ticket.wait_deadline
+        return min(ticket.wait_deadline, self._dispatch_deadline(ticket))
 
     def _outcome_now(
         self, ticket: QueueTicket, waiting: int
-    ) -> SlotTaken | Overloaded | _Waits:
-        """What the first in the queue is told now, or what it waits for."""
+    ) -> SlotTaken | Overloaded | _WaitsFor:
+        """Outcome of the first request of the queue, or what it waits for."""
         placement = self._choose(ticket)
         if placement is not None and placement.has_room:
-            return self._given(ticket, placement)
+            return self._grant(ticket, placement)
         if placement is not None:
-            return _Waits.FOR_ROOM
+            return _WaitsFor.ROOM
         closed = self._closed(ticket, 0)
         if closed is None:
-            if self._may_come(ticket):
-                return _Waits.FOR_TARGET
+            if self._may_become_available(ticket):
+                return _WaitsFor.TARGET_AVAILABLE
             return Overloaded("no_target", waiting)
-        if closed.room_s <= ticket.waits_until - now_s():
-            self._look_after(closed.room_s)
-            return _Waits.FOR_TARGET
+        if closed.available_in_s <= ticket.wait_deadline - now_s():
+            self._schedule_poll(closed.available_in_s)
+            return _WaitsFor.TARGET_AVAILABLE
         return Overloaded(closed.reason, waiting, returns_s=closed.returns_s)
 
-    def _given(self, ticket: QueueTicket, placement: Placement) -> SlotTaken:
+    def _grant(self, ticket: QueueTicket, placement: Placement) -> SlotTaken:
         slot = self._take(placement.candidate, ticket)
-        given_at = self._given_at_by_service.setdefault(
-            ticket.service, collections.deque(maxlen=_MAX_GIVEN)
+        grant_times = self._grant_times_by_service.setdefault(
+            ticket.service, collections.deque(maxlen=_MAX_GRANT_TIMES)
         )
-        given_at.append(now_s())
+        grant_times.append(now_s())
         return SlotTaken(placement.candidate, slot)
 
-    def _refused(self, ticket: QueueTicket, waiting: int) -> Overloaded:
-        before = self._count_before(ticket)
-        foreseen_s = self._foreseen_wait_s(ticket.service, before)
-        closed = self._closed(ticket, before)
+    def _refuse(self, ticket: QueueTicket, waiting: int) -> Overloaded:
+        count_ahead = self._count_ahead(ticket)
+        expected_wait_s = self._expected_wait_s(ticket.service, count_ahead)
+        closed = self._closed(ticket, count_ahead)
         if closed is not None:
             return Overloaded(
-                closed.reason, waiting, foreseen_s, closed.returns_s
+                closed.reason, waiting, expected_wait_s, closed.returns_s
             )
-        return Overloaded(self._shortage(ticket), waiting, foreseen_s)
+        return Overloaded(
+            self._refusal_reason(ticket), waiting, expected_wait_s
+        )
 
-    def _shortage(self, ticket: QueueTicket) -> str:
-        """Room, a target that takes requests, or one that can serve at all."""
+    def _refusal_reason(self, ticket: QueueTicket) -> str:
+        """Returns why a ticket gets no slot now, from the cache if possible."""
         now = now_s()
-        if now - self._shortage_since >= _SHORTAGE_HOLDS_S:
-            self._shortage_by_kind.clear()
-            self._shortage_since = now
+        if now - self._reasons_since >= _REASON_CACHE_S:
+            self._reasons_by_kind.clear()
+            self._reasons_since = now
         kind = (ticket.service, ticket.model)
-        if kind not in self._shortage_by_kind:
-            self._shortage_by_kind[kind] = self._shortage_now(ticket)
-        return self._shortage_by_kind[kind]
+        if kind not in self._reasons_by_kind:
+            self._reasons_by_kind[kind] = self._compute_refusal_reason(ticket)
+        return self._reasons_by_kind[kind]
 
-    def _shortage_now(self, ticket: QueueTicket) -> str:
+    def _compute_refusal_reason(self, ticket: QueueTicket) -> str:
         if self._choose(ticket) is not None:
             return "overloaded"
         closed = self._closed(ticket, 0)
         return closed.reason if closed is not None else "no_target"
 
-    def _foreseen_wait_s(self, service: str, before: int) -> float:
-        """How long those before a ticket will take, at the present rate."""
+    def _expected_wait_s(self, service: str, count_ahead: int) -> float:
+        """Predicts the wait for the requests ahead, at the present rate."""
         now = now_s()
-        given_at = self._given_at_by_service.get(service, ())
-        recent = [at for at in given_at if at >= now - _RATE_WINDOW_S]
-        if len(recent) < _MIN_GIVEN:
+        grant_times = self._grant_times_by_service.get(service, ())
+        recent = [at for at in grant_times if at >= now - _RATE_WINDOW_S]
+        if len(recent) < _MIN_GRANT_TIMES:
             return 0.0
-        span_s = max(now - recent[0], _MIN_SPAN_S)
-        return before * span_s / len(recent)
+        span_s = max(now - recent[0], _MIN_GRANT_SPAN_S)
+        return count_ahead * span_s / len(recent)
 
-    def _count_before(self, ticket: QueueTicket) -> int:
-        """How many go before a ticket."""
+    def _count_ahead(self, ticket: QueueTicket) -> int:
+        """Returns the number of requests that go before a ticket."""
         now = now_s()
         rank = self._rank(ticket, now)
         return sum(
-            self._rank(joined.ticket, now) <= rank
-            for joined in self._waiting_by_service.get(ticket.service, [])
+            self._rank(request.ticket, now) <= rank
+            for request in self._waiting_by_service.get(ticket.service, [])
         )
 
     def _rank(self, ticket: QueueTicket, now: float) -> tuple[float, ...]:
-        """Urgent kinds, then who may be in time, then who came first."""
+        """Sort key: urgent first, then possibly in time, then by arrival."""
         late = self._is_late(ticket, now)
         return (ticket.priority, late, ticket.arrived_at)
 
     def _is_late(self, ticket: QueueTicket, now: float) -> bool:
-        """Whether a ticket's answer would come after its goal."""
-        return now > self._in_time_until(ticket)
+        """Whether a ticket's answer would miss its latency objective."""
+        return now > self._dispatch_deadline(ticket)
 
-    def _in_time_until(self, ticket: QueueTicket) -> float:
-        """Until when a ticket must be sent to be answered in time."""
+    def _dispatch_deadline(self, ticket: QueueTicket) -> float:
+        """Returns the latest time of dispatch for an answer in time."""
         if not ticket.goal_s:
-            return ticket.waits_until
+            return ticket.wait_deadline
         first_answer_s = min(
-            self._first_answers.usual_s(ticket.service),
-            _MAX_FIRST_SHARE * ticket.goal_s,
+            self._first_answers.p90_s(ticket.service),
+            _MAX_FIRST_ANSWER_SHARE * ticket.goal_s,
         )
         return ticket.arrived_at + ticket.goal_s - first_answer_s
--- a/damaskcroft/routing/_retries.py
+++ b/damaskcroft/routing/_retries.py
@@ -1,32 +1,32 @@
-"""A budget that keeps retries to a fraction of the requests.
+"""A retry budget that limits retries to a fraction of the requests.
 
-After "Site Reliability Engineering" (Beyer et al., 2016), chapter 21.
+See "Site Reliability Engineering" (Beyer et al., 2016), chapter 21.
 """
 
-_MAX_SAVED = 20.0
+_MAX_BALANCE = 20.0
 
 
 class RetryBudget:
-    """Retries allowed at one entry.
+    """Retry budget of one entry.
 
     Args:
-        fraction: retries earned by each request.
+        fraction: retries that each request adds to the budget.
     """
 
-    __slots__ = ("_fraction", "_saved")
+    __slots__ = ("_fraction", "_balance")
 
     def __init__(self, fraction: float):
-        """Starts with the whole reserve."""
+        """Starts with the maximum balance."""
         self._fraction = fraction
-        self._saved = _MAX_SAVED
+        self._balance = _MAX_BALANCE
 
     def earn(self) -> None:
-        """Takes note of one request."""
-        self._saved = min(_MAX_SAVED, self._saved + self._fraction)
+        """Counts one request."""
+        self._balance = min(_MAX_BALANCE, self._balance + self._fraction)
 
     def spend(self) -> bool:
-        """Takes one retry if there is one."""
-        if self._saved < 1:
+        """Takes one retry from the budget; False if none is left."""
+        if self._balance < 1:
             return False
-        self._saved -= 1
+        self._balance -= 1
         return True
--- a/damaskcroft/routing/_retry_window.py
+++ b/damaskcroft/routing/_retry_window.py
@@ -1,25 +1,25 @@
-"""A budget for repeats over a sliding window, shared by all entries."""
+"""A retry budget over a sliding window, shared by all entries."""
 
 import asyncio
 import collections
 
 __all__ = ["RetryWindow"]
 
-# Kept back from the deployment's bound: entries count the same window from
-# different moments, and a retry sent now arrives a little later.
+# Share of the deployment's bound that is used: entries count the same window
+# from different moments, and a retry arrives later than it is sent.
 _USED_SHARE = 0.8
 
 
 class RetryWindow:
-    """Repeats that one entry may send to one service.
+    """Retries that one entry may send to one service.
 
-    The deployment bounds arrivals beyond the first of each request, over all
-    entries and in any window. Each entry takes the ratio of the requests
-    that it sees itself, and its part of the constant.
+    The deployment bounds the arrivals of a request beyond its first, over all
+    entries and in any window. Each entry applies the ratio to the requests that
+    it receives itself, and uses its share of the constant.
 
     Args:
-        ratio: repeats for each request.
-        extra: repeats in a window beyond the ratio, over all entries.
+        ratio: retries allowed for each request.
+        extra: retries allowed in a window beyond the ratio, over all entries.
         window_s: length of the window.
     """
 
@@ -36,11 +36,11 @@
         self.entries = 1
 
     def earn(self) -> None:
-        """Takes note of one request."""
+        """Counts one request."""
         self._requests.append(asyncio.get_running_loop().time())
 
     def spend(self) -> bool:
-        """Takes one repeat if the window has room for it."""
+        """Takes one retry from the budget; False if none is left."""
         now = asyncio.get_running_loop().time()
         if self.left < 1:
             return False
@@ -49,20 +49,20 @@
 
     @property
     def left(self) -> float:
-        """How many repeats the window has room for now."""
+        """Number of retries left in the window now."""
         since = asyncio.get_running_loop().time() - self._window_s
-        _forget_before(self._requests, since)
-        _forget_before(self._repeats, since)
+        _drop_before(self._requests, since)
+        _drop_before(self._repeats, since)
         allowed = self._ratio * len(self._requests)
         allowed += self._extra / max(1, self.entries)
         return allowed * _USED_SHARE - len(self._repeats)
 
     def give_back(self) -> None:
-        """Takes back the last repeat, which was not sent."""
+        """Returns the last retry to the budget, because it was not sent."""
         if self._repeats:
             self._repeats.pop()
 
 
-def _forget_before(times: collections.deque[float], limit: float) -> None:
-    while times and times[0] < limit:
+def _drop_before(times: collections.deque[float], begin: float) -> None:
+    while times and times[0] < begin:
         times.popleft()
--- a/damaskcroft/routing/_standing.py
+++ b/damaskcroft/routing/_standing.py
@@ -1,30 +1,30 @@
-"""Whether a queue stands: more come than targets carry, and it won't pass."""
+"""Detection of standing queues, which arise when load exceeds capacity."""
 
 import math
 
 __all__ = ["LateSpan"]
 
-# A queue in which some are late for so long, without a pause of as long,
-# doesn't end by itself.
-_STANDS_AFTER_S = 1.0
+# A queue in which some requests are late for this long, without an interval of
+# the same length in which none is, doesn't drain by itself.
+_STANDING_AFTER_S = 1.0
 
 
 class LateSpan:
-    """The time in which some waited who couldn't be in time any more."""
+    """The time span in which waiting requests were already too late."""
 
-    __slots__ = ("_seen_at", "_since")
+    __slots__ = ("_last_late_at", "_began_at")
 
     def __init__(self) -> None:
-        """Nobody has waited in vain."""
-        self._since = self._seen_at = -math.inf
-
-    def note(self, now: float) -> None:
-        """Somebody waits in vain now."""
-        if now - self._seen_at > _STANDS_AFTER_S:
-            self._since = now
-        self._seen_at = now
-
-    def stands(self, now: float) -> bool:
-        """Whether that lasts, and has lasted for some time."""
-        lasts = now - self._seen_at <= _STANDS_AFTER_S
-        return lasts and now - self._since >= _STANDS_AFTER_S
+        """Starts without late requests."""
+        self._began_at = self._last_late_at = -math.inf
+
+    def note_late(self, now: float) -> None:
+        """Records that a request waits now that cannot be in time."""
+        if now - self._last_late_at > _STANDING_AFTER_S:
+            self._began_at = now
+        self._last_late_at = now
+
+    def is_standing(self, now: float) -> bool:
+        """Whether the span goes on, and is long enough for a standing queue."""
+        goes_on = now - self._last_late_at <= _STANDING_AFTER_S
+        return goes_on and now - self._began_at >= _STANDING_AFTER_S
--- a/damaskcroft/routing/_target_loads.py
+++ b/damaskcroft/routing/_target_loads.py
@@ -1,8 +1,8 @@
-"""How full targets are, by what an entry has sent them and what they told.
+"""Estimates of target load, from requests sent here and reported loads.
 
-Written for targets that many entries share: each entry knows what it has sent
-itself, and what the others have sent only from the load that targets tell in
-their answers.
+Many entries share the targets: each entry knows the requests that it has sent
+itself, and those of the others only from the load that targets report in their
+answers.
 """
 
 import asyncio
@@ -11,65 +11,67 @@
 
 __all__ = ["TargetLoad", "TargetLoads"]
 
-# What a target told of its load holds for a while, since whoever ends is
-# replaced while a target is full. Held for as long as requests last, free
-# slots would be missed where it isn't.
-_REPORT_HOLDS_S = 0.75
-# Later it counts for half as much with each such time.
+# A reported load counts in full for this time, because requests that end are
+# replaced while a target is full. If it did for as long as requests last, free
+# slots of targets that aren't full would be missed.
+_REPORT_FRESH_S = 0.75
+# After that, its weight halves in each such time.
 _REPORT_HALF_LIFE_S = 0.5
-# Targets that have told nothing lately are taken to be as full as the others on
-# average, as far as so many have told something within that time: where many
-# entries share many targets, each hears of one of them once in a second or two,
-# and those that it has not heard of would look empty to all.
-_HEARD_WITHIN_S = 1.0
-_MIN_HEARD = 3
-# But not quite full, or nobody would hear of them again.
-_MOST_ASSUMED = 0.95
+# Targets without a recent report are assumed to be as full as the others on
+# average, if at least this many have reported within this time: where many
+# entries share many targets, each entry receives a report of a given target
+# once in a second or two, and targets without one would look empty to all.
+_RECENT_REPORT_S = 1.0
+_MIN_RECENT_REPORTS = 3
+# The assumption stays below full, because otherwise no request would be sent to
+# these targets, and no report would come from them.
+_MAX_ASSUMED_FULLNESS = 0.95
 
 
 class TargetLoad:
-    """What this entry knows of one target's load.
+    """Load of one target, as far as this entry knows it.
 
     Attributes:
-        outstanding: requests of this entry under way there.
-        suspects: those of them that other targets have crashed under.
-        unread_tokens: prompts of this entry that it has not read.
-        others: requests of other entries, as told last.
-        told_at: when that was.
+        outstanding: number of this entry's requests under way there.
+        suspects: number of those that are suspect: they ran on another target
+            when it crashed.
+        unread_tokens: length of this entry's prompts that it has not read.
+        reported_others: number of other entries' requests, as last reported.
+        reported_at: loop time of that report.
     """
 
     __slots__ = (
-        "others",
+        "reported_others",
         "outstanding",
         "suspects",
-        "told_at",
+        "reported_at",
         "unread_tokens",
     )
 
     def __init__(self) -> None:
-        """Nothing is known."""
+        """Starts without requests and without a report."""
         self.outstanding = 0
         self.suspects = 0
         self.unread_tokens = 0
-        self.others = 0.0
-        self.told_at = float("-inf")
+        self.reported_others = 0.0
+        self.reported_at = float("-inf")
 
-    def fullness(self, slots: int, usual: float, now: float) -> float:
-        """Estimated requests for each of its slots.
+    def fullness(self, slots: int, assumed: float, now: float) -> float:
+        """Returns the estimated number of requests per slot.
 
         Args:
-            slots: requests that it runs at once.
-            usual: what it is taken to be where nothing is known.
+            slots: number of requests that the target runs at once.
+            assumed: fullness assumed without a recent report.
             now: loop time.
         """
         slots = max(1, slots)
-        stale_s = now - self.told_at - _REPORT_HOLDS_S
+        stale_s = now - self.reported_at - _REPORT_FRESH_S
         if stale_s <= 0:
-            return (self.outstanding + self.others) / slots
-        known = 0.5 ** (stale_s / _REPORT_HALF_LIFE_S)
-        unheard = max(self.outstanding, usual * slots)
-        told = self.outstanding + self.others
-        return (known * told + (1 - known) * unheard) / slots
+            return (self.outstanding + self.reported_others) / slots
+        weight = 0.5 ** (stale_s / _REPORT_HALF_LIFE_S)
+        unreported = max(self.outstanding, assumed * slots)
+        reported = self.outstanding + self.reported_others
+        return (weight * reported + (1 - weight) * unreported) / slots
 
 
 class TargetLoads:
@@ -78,50 +80,50 @@
     __slots__ = ("_loads_by_id",)
 
     def __init__(self) -> None:
-        """Knows no target."""
+        """Starts without targets."""
         self._loads_by_id: dict[str, TargetLoad] = {}
 
     def find(self, target_id: str) -> TargetLoad | None:
-        """What is known of a target; None for nothing."""
+        """Returns a target's load; None if nothing is known of it."""
         return self._loads_by_id.get(target_id)
 
-    def of(self, target_id: str) -> TargetLoad:
-        """A target's load, to be changed."""
+    def get_or_add(self, target_id: str) -> TargetLoad:
+        """Returns a target's load for a change, added if it is missing."""
         return self._loads_by_id.setdefault(target_id, TargetLoad())
 
     @property
     def unread_tokens(self) -> int:
-        """Prompts of this entry that no target has read."""
+        """Total length of this entry's prompts that no target has read."""
         return sum(load.unread_tokens for load in self._loads_by_id.values())
 
-    def usual_fullness(
+    def assumed_fullness(
         self, slots_by_id: Iterable[tuple[str, int]], now: float
     ) -> float:
-        """How full those are that told something lately; 0 if few did.
+        """Returns the mean fullness of recent reports; 0 if there are too few.
 
         Args:
             slots_by_id: targets that could run a request, and their slots.
             now: loop time.
         """
-        since = now - _HEARD_WITHIN_S
-        heard = []
+        since = now - _RECENT_REPORT_S
+        fullness_values = []
         for target_id, slots in slots_by_id:
             load = self._loads_by_id.get(target_id)
-            if load is not None and load.told_at >= since:
-                requests = load.outstanding + load.others
-                heard.append(requests / max(1, slots))
-        if len(heard) < _MIN_HEARD:
+            if load is not None and load.reported_at >= since:
+                requests = load.outstanding + load.reported_others
+                fullness_values.append(requests / max(1, slots))
+        if len(fullness_values) < _MIN_RECENT_REPORTS:
             return 0.0
-        return min(statistics.fmean(heard), _MOST_ASSUMED)
+        return min(statistics.fmean(fullness_values), _MAX_ASSUMED_FULLNESS)
 
-    def told(self, target_id: str, requests: int) -> None:
-        """Takes a target's own word on how many requests it has."""
-        load = self.of(target_id)
-        load.others = max(0, requests - load.outstanding)
-        load.told_at = asyncio.get_running_loop().time()
+    def record_report(self, target_id: str, requests: int) -> None:
+        """Records the number of requests that a target reports."""
+        load = self.get_or_add(target_id)
+        load.reported_others = max(0, requests - load.outstanding)
+        load.reported_at = asyncio.get_running_loop().time()
 
     def forget_all_but(self, target_ids: Collection[str]) -> None:
-        """Drops what is known of targets that are gone."""
+        """Drops the loads of targets that are gone."""
         for target_id in list(self._loads_by_id):
             if target_id not in target_ids:
                 del self._loads_by_id[target_id]
--- a/damaskcroft/routing/_tickets.py
+++ b/damaskcroft/routing/_tickets.py
@@ -1,4 +1,4 @@
-"""What a request's place in the queue depends on, and what becomes of it."""
+"""Tickets of queued requests, and the outcomes of queueing."""
 
 import dataclasses
 
@@ -6,28 +6,29 @@
 
 __all__ = ["Closed", "LongWait", "Overloaded", "QueueTicket", "SlotTaken"]
 
-# Share of its time that a request waits here at most. A caller comes back
-# within a third of what it has left, and must then still be served.
-_WAIT_SHARE = 0.33
+# Maximum share of its time that a request waits here. A refused caller retries
+# within a third of its remaining time, and must then still be served.
+_MAX_WAIT_SHARE = 0.33
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueueTicket:
-    """What a request's place in the queue depends on.
+    """The properties of a request that decide its position in the queue.
 
     Attributes:
-        service: whose targets it needs.
-        model: which model, or empty.
+        service: name of the service whose targets can serve it.
+        model: name of the model, or empty.
         priority: 0 is the most urgent.
         arrived_at: loop time of its arrival.
-        goal_s: an answer within this time is in time; 0 for no goal.
-        deadline_at: loop time of its final answer.
+        goal_s: latency objective: an answer that begins within this time is in
+            time; 0 for none.
+        deadline_at: loop time at which its answer must be complete.
         prompt_tokens: length of its prompt.
-        request_id: whose place it is, for logs.
-        is_suspect: whether a target has crashed under it.
-        has_begun: whether its caller has part of the answer already.
-        tried_ids: targets that it was sent to, taken only where no other can
-            serve it.
+        request_id: the request's id, for logs.
+        is_suspect: whether it ran on a target that crashed.
+        has_begun: whether its caller has received part of the answer.
+        tried_ids: ids of targets that it was sent to, which are chosen only if
+            no other target can serve it.
     """
 
     service: str
@@ -43,18 +44,18 @@
     tried_ids: frozenset[str] = frozenset()
 
     @property
-    def waits_until(self) -> float:
-        """When it is told to come back."""
+    def wait_deadline(self) -> float:
+        """Loop time at which it is refused with a Retry-After."""
         if self.has_begun:
-            # Its caller can't come back for the rest.
+            # A retry of its caller cannot continue a partial answer.
             return self.deadline_at
         time_s = self.deadline_at - self.arrived_at
-        return self.arrived_at + time_s * _WAIT_SHARE
+        return self.arrived_at + time_s * _MAX_WAIT_SHARE
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotTaken:
-    """A slot was taken at a target for the request."""
+    """Outcome of a request that has a slot at a target."""
 
     candidate: Candidate
     slot: Slot
@@ -62,31 +63,32 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Closed:
-    """No target that could serve a request takes one now.
+    """State in which no target that could serve a request accepts one now.
 
     Attributes:
-        reason: "resting" if they asked for that, "rate_limited" if they get as
-            many a second as they take.
-        room_s: until one takes the request from here; infinite where only
-            other entries send.
-        returns_s: when its caller should come back, to whichever entry.
+        reason: "resting" if all of them are in back-off, "rate_limited" if the
+            rate limits of the others are used up.
+        available_in_s: time until a target accepts the request from this entry;
+            infinite if only other entries send to these targets.
+        returns_s: Retry-After for the caller, which may use any entry.
     """
 
     reason: str
-    room_s: float
+    available_in_s: float
     returns_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Overloaded:
-    """No slot in time; the request was sent to nobody.
+    """Outcome of a request that got no slot in time and was not sent.
 
     Attributes:
-        reason: "overloaded" if all that could serve it were full, "no_target"
-            if none could serve it, or as `Closed` has it.
-        waiting: how many waited for the service.
-        foreseen_s: how long the queue is at its present rate; 0 if unknown.
-        returns_s: when its caller should come back; 0 if unknown.
+        reason: "overloaded" if all targets that could serve it were full,
+            "no_target" if none could serve it, or the reason of `Closed`.
+        waiting: number of requests that waited for the service.
+        foreseen_s: predicted wait in the queue at its present rate; 0 if
+            unknown.
+        returns_s: Retry-After for the caller; 0 if unknown.
     """
 
     reason: str
@@ -97,12 +99,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LongWait:
-    """A request that has waited for a notable time, and waits on.
+    """A request that has waited for a long time and still waits.
 
     Attributes:
-        ticket: its place.
-        reason: what it waits for, in the words of `Overloaded`.
-        waiting: how many wait for the service.
+        ticket: its ticket.
+        reason: why it waits, one of the reasons of `Overloaded`.
+        waiting: number of requests that wait for the service.
     """
 
     ticket: QueueTicket
--- a/damaskcroft/routing/tests/test_delays.py
+++ b/damaskcroft/routing/tests/test_delays.py
@@ -1,4 +1,4 @@
-"""What answers' delays tell of a target."""
+"""Answer delays of targets that are slow or don't answer."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
         answered()
 
 
-def test_the_quickest_of_the_last_answers_counts(loop):
+def test_the_shortest_recent_delay_counts(loop):
     async def scenario():
         delays = AnswerDelays()
         assert delays.quickest_s("a") == 0.0
@@ -24,7 +24,7 @@
     loop.run(scenario())
 
 
-def test_a_link_that_turned_narrow_shows_within_two_seconds(loop):
+def test_a_narrowed_link_is_detected_within_two_seconds(loop):
     async def scenario():
         delays = AnswerDelays()
         await answer_after(delays, "a", 0.1)
@@ -37,15 +37,15 @@
     loop.run(scenario())
 
 
-def test_without_answers_the_oldest_question_tells(loop):
+def test_without_answers_the_oldest_request_decides(loop):
     async def scenario():
         delays = AnswerDelays()
-        never = asyncio.create_task(answer_after(delays, "a", 100))
+        unanswered = asyncio.create_task(answer_after(delays, "a", 100))
         await asyncio.sleep(1.5)
         assert abs(delays.quickest_s("a") - 1.5) < 1e-6
-        never.cancel()
-        await asyncio.gather(never, return_exceptions=True)
-        # Given up in vain, which speaks of the target for a while.
+        unanswered.cancel()
+        await asyncio.gather(unanswered, return_exceptions=True)
+        # The abandoned request counts against the target for a while.
         await asyncio.sleep(1.0)
         assert abs(delays.quickest_s("a") - 1.5) < 1e-6
         await asyncio.sleep(9.5)
@@ -56,8 +56,8 @@
     loop.run(scenario())
 
 
-def test_a_slow_target_that_is_left_is_remembered_as_slow(loop):
-    """It gets nothing for some seconds, since others are quicker."""
+def test_a_slow_target_without_requests_is_remembered_as_slow(loop):
+    """It gets no requests for some seconds, because others are faster."""
 
     async def scenario():
         delays = AnswerDelays()
@@ -70,24 +70,24 @@
     loop.run(scenario())
 
 
-def test_a_quick_answer_does_not_hide_those_that_stay_away(loop):
-    """An entry foresaw 0.35 s, its last request took 1.24 s to arrive.
+def test_a_fast_answer_does_not_hide_missing_ones(loop):
+    """Guards against a prediction of 0.35 s where arrival took 1.24 s.
 
-    One answer of a second before had been quick; the requests after it had
-    none.
+    One answer a second earlier had been fast, and the requests after it had
+    not been answered.
     """
 
     async def scenario():
         delays = AnswerDelays()
         await answer_after(delays, "a", 0.35)
-        never = asyncio.create_task(answer_after(delays, "a", 100))
+        unanswered = asyncio.create_task(answer_after(delays, "a", 100))
         await asyncio.sleep(0.8)
         assert abs(delays.quickest_s("a") - 0.35) < 1e-6
         assert abs(delays.foreseen_s("a") - 0.8) < 1e-6
         await answer_after(delays, "a", 0.1)
         assert abs(delays.foreseen_s("a") - 0.1) < 1e-6
-        never.cancel()
-        await asyncio.gather(never, return_exceptions=True)
+        unanswered.cancel()
+        await asyncio.gather(unanswered, return_exceptions=True)
         assert delays.foreseen_s("b") == 0.0
 
     loop.run(scenario())
--- a/damaskcroft/routing/tests/test_placement.py
+++ b/damaskcroft/routing/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""How full targets are taken to be, and which one is chosen."""
+"""Estimated fullness of targets, and which target is chosen."""
 
 import asyncio
 import random
@@ -22,7 +22,7 @@
     return Placer("d", "r", Outliers(), random.Random(1))
 
 
-def test_what_others_sent_counts_in_full_while_it_may_still_run(loop):
+def test_a_reported_load_counts_in_full_while_it_may_still_run(loop):
     async def scenario():
         placer = make_placer()
         placer.take(candidate("a"))
@@ -37,7 +37,7 @@
     loop.run(scenario())
 
 
-def test_the_emptiest_is_chosen_and_the_nearest_of_equals(loop):
+def test_the_least_full_target_is_chosen_and_the_nearest_of_equals(loop):
     async def scenario():
         placer = make_placer()
         near, far = candidate("near"), candidate("far", "e", "s")
@@ -50,42 +50,45 @@
     loop.run(scenario())
 
 
-def test_targets_not_heard_of_are_taken_to_be_as_full_as_others(loop):
+def test_targets_without_a_report_are_assumed_as_full_as_others(loop):
     async def scenario():
         placer = make_placer()
-        heard = [candidate(f"t{n}") for n in range(3)]
-        unheard = candidate("u")
-        for target in heard:
+        with_report = [candidate(f"t{n}") for n in range(3)]
+        without_report = candidate("u")
+        for target in with_report:
             placer.told(target.id, 6)
-        placer.told(heard[0].id, 4)
-        assert placer.choose([*heard, unheard], ()).candidate is heard[0]
+        placer.told(with_report[0].id, 4)
+        assert (
+            placer.choose([*with_report, without_report], ()).candidate
+            is with_report[0]
+        )
 
     loop.run(scenario())
 
 
-def test_targets_not_heard_of_are_tried_while_all_others_are_full(loop):
+def test_targets_without_a_report_are_tried_while_others_are_full(loop):
     async def scenario():
         placer = make_placer()
-        heard = [candidate(f"t{n}") for n in range(3)]
-        unheard = candidate("u")
-        for target in heard:
+        with_report = [candidate(f"t{n}") for n in range(3)]
+        without_report = candidate("u")
+        for target in with_report:
             placer.told(target.id, 15)
-        chosen = placer.choose([*heard, unheard], ())
-        assert chosen.candidate is unheard
+        chosen = placer.choose([*with_report, without_report], ())
+        assert chosen.candidate is without_report
         assert chosen.has_room
 
     loop.run(scenario())
 
 
-def test_suspects_of_several_entries_are_sent_to_different_targets(loop):
+def test_suspects_from_several_entries_are_sent_to_different_targets(loop):
     async def scenario():
         names = frozenset(f"e{n}" for n in range(3))
         targets = [candidate(f"t{n}") for n in range(20)]
         chosen = []
         for name in sorted(names):
-            parted = PartedTargets(name, lambda: names)
+            partition = PartedTargets(name, lambda: names)
             placer = Placer(
-                "d", "r", Outliers(), random.Random(1), is_own=parted.is_own
+                "d", "r", Outliers(), random.Random(1), is_own=partition.is_own
             )
             for _ in range(3):
                 target = placer.choose(targets, (), is_suspect=True).candidate
@@ -96,14 +99,14 @@
     loop.run(scenario())
 
 
-def test_targets_with_like_ids_are_parted_evenly():
-    parted = PartedTargets("entry-14", lambda: frozenset({"entry-16"}))
+def test_targets_with_similar_ids_are_partitioned_evenly():
+    partition = PartedTargets("entry-14", lambda: frozenset({"entry-16"}))
     ids = [f"i-t{n}-1" for n in (1, 3, 5, 7, 9)]
     ids += [f"i-t{n}@17963063751{n + 29}" for n in (0, 2, 4, 6, 8)]
-    assert 3 <= sum(map(parted.is_own, ids)) <= 7
+    assert 3 <= sum(map(partition.is_own, ids)) <= 7
 
 
-def test_suspects_go_to_targets_of_others_where_their_own_have_no_room(loop):
+def test_suspects_go_to_targets_of_other_entries_if_own_ones_are_full(loop):
     async def scenario():
         own, other = candidate("own"), candidate("other")
         placer = Placer("d", "r", Outliers(), is_own=lambda id_: id_ == "own")
@@ -114,7 +117,7 @@
     loop.run(scenario())
 
 
-def test_a_target_put_aside_comes_last(loop):
+def test_an_ejected_target_comes_last(loop):
     async def scenario():
         outliers = Outliers()
         placer = Placer("d", "r", outliers, random.Random(1))
@@ -126,8 +129,9 @@
     loop.run(scenario())
 
 
-def test_a_target_that_is_due_goes_before_others_while_it_has_room(loop):
-    # Against a limit whose end nobody hears of, as its target is never tried.
+def test_a_target_that_is_due_is_preferred_while_it_has_room(loop):
+    # Guards against a rate limit whose end goes unnoticed, because no request
+    # is sent to its target.
     async def scenario():
         targets = [candidate(f"t{n}") for n in range(9)]
         due = candidate("due", "e", "s")
@@ -144,7 +148,7 @@
     loop.run(scenario())
 
 
-def test_a_target_that_answers_late_is_taken_when_no_other_has_room(loop):
+def test_a_slow_target_is_chosen_when_no_other_has_room(loop):
     async def scenario():
         delays = {"near": 0.9, "far": 0.1}
         placer = Placer("d", "r", Outliers(), random.Random(1), delays.get)
@@ -165,7 +169,7 @@
 
 
 def test_an_engine_with_an_unread_prompt_has_no_room_for_another(loop):
-    """0.12 s of reading in all, over four entries: 900 tokens each."""
+    """The bound of 0.12 s of reading is 900 tokens for each of four entries."""
 
     async def scenario():
         placer = make_placer()
@@ -194,7 +198,7 @@
     loop.run(scenario())
 
 
-def test_a_slot_that_is_given_back_twice_counts_once(loop):
+def test_a_slot_released_twice_counts_once(loop):
     async def scenario():
         placer = make_placer()
         a = engine("a")
@@ -208,7 +212,7 @@
     loop.run(scenario())
 
 
-def test_unread_prompts_at_engines_hold_back_no_plain_service(loop):
+def test_unread_prompts_at_engines_do_not_block_plain_services(loop):
     async def scenario():
         placer = make_placer()
         placer.entries = 15
@@ -220,7 +224,7 @@
 
 
 class Engine:
-    """Reads prompts one after another; all share what entries send."""
+    """Reads prompts one after another, from all entries."""
 
     def __init__(self):
         self.reader = asyncio.Lock()
@@ -230,18 +234,18 @@
             await asyncio.sleep(prompt_tokens / 30_000)
 
 
-def test_after_a_change_of_weights_the_first_callers_are_in_time(loop):
-    """Sixty callers of four entries have waited for six engines.
+def test_after_a_change_of_weights_waiting_callers_are_served_in_time(loop):
+    """Sixty callers at four entries have waited for six engines.
 
-    Without the bound all prompts would be sent at once, ten to an engine, and
-    the last one's first event come after a third of a second.
+    Without the bound, all prompts would be sent at once, ten to an engine, and
+    the last first event would come after a third of a second.
     """
 
     async def scenario():
         engines = {f"e{n}": Engine() for n in range(6)}
         candidates = [engine(name) for name in engines]
         first_after_s = []
-        begun = loop.time()
+        started_at = loop.time()
 
         async def entry():
             placer = make_placer()
@@ -254,28 +258,28 @@
             async def caller():
                 now = loop.time()
                 ticket = QueueTicket("s", "m", 1, now, 0.4, now + 6, 1000)
-                turn = await queue.take_slot(ticket)
+                outcome = await queue.take_slot(ticket)
                 sent_at = loop.time()
-                await engines[turn.candidate.id].run(1000)
+                await engines[outcome.candidate.id].run(1000)
                 first_after_s.append(loop.time() - sent_at)
-                turn.slot.read()
+                outcome.slot.read()
                 queue.serve()
 
             await asyncio.gather(*(caller() for _ in range(15)))
 
         await asyncio.gather(*(entry() for _ in range(4)))
         assert max(first_after_s) < 0.15
-        # Nothing is lost by it: the engines read all the time.
-        assert loop.time() - begun < 1.3 * 60 * 1000 / 30_000 / 6
+        # The bound costs no throughput: the engines read all the time.
+        assert loop.time() - started_at < 1.3 * 60 * 1000 / 30_000 / 6
 
     loop.run(scenario())
 
 
-def test_fifteen_entries_together_keep_few_prompts_unread_at_each_engine(loop):
-    """Twenty engines, and callers enough to keep all of them reading.
+def test_many_entries_together_keep_few_prompts_unread_at_each_engine(loop):
+    """Twenty engines, with enough callers to keep all of them reading.
 
-    An entry that sends one prompt to each engine is one of fifteen that do:
-    without more, first events take 0.42 s.
+    If each of fifteen entries sends one prompt to each engine, first events
+    take 0.42 s.
     """
 
     async def scenario():
@@ -296,28 +300,28 @@
                 while loop.time() < ends_at:
                     now = loop.time()
                     ticket = QueueTicket("s", "m", 1, now, 0.4, now + 60, 900)
-                    turn = await queue.take_slot(ticket)
-                    if isinstance(turn, Overloaded):
+                    outcome = await queue.take_slot(ticket)
+                    if isinstance(outcome, Overloaded):
                         await asyncio.sleep(0.05)
                         continue
                     sent_at = loop.time()
-                    await engines[turn.candidate.id].run(900)
+                    await engines[outcome.candidate.id].run(900)
                     took_s = loop.time() - sent_at
                     first_after_s.append((sent_at, took_s))
                     placer.first_answered(took_s, 0.4)
-                    turn.slot.read()
-                    turn.slot.give_back()
+                    outcome.slot.read()
+                    outcome.slot.give_back()
                     queue.serve()
 
             await asyncio.gather(*(call_forever() for _ in range(20)))
 
-        begun = loop.time()
+        started_at = loop.time()
         await asyncio.gather(*(entry() for _ in range(15)))
-        settled = sorted(
-            took_s for at, took_s in first_after_s if at > begun + 3
+        steady = sorted(
+            took_s for at, took_s in first_after_s if at > started_at + 3
         )
-        assert settled[int(0.9 * len(settled))] < 3 * 0.12
-        # Nothing is lost by it: the engines read nearly all the time.
-        assert len(settled) > 0.9 * 5 * 20 * 30_000 / 900
+        assert steady[int(0.9 * len(steady))] < 3 * 0.12
+        # The bound costs no throughput: the engines read nearly all the time.
+        assert len(steady) > 0.9 * 5 * 20 * 30_000 / 900
 
     loop.run(scenario())
--- a/damaskcroft/routing/tests/test_queue.py
+++ b/damaskcroft/routing/tests/test_queue.py
@@ -1,4 +1,4 @@
-"""Loads above what the targets carry, and what callers get of it."""
+"""The queue under loads above and below the capacity of the targets."""
 
 import asyncio
 import random
@@ -20,14 +20,14 @@
 
 SLOTS = 4
 WORK_S = 1.0
-GOAL_S = 0.4
+OBJECTIVE_S = 0.4
 DEADLINE_S = 6.0
-REST_AGAIN_S = 0.2
-FIRST_S = 0.1
+BACK_OFF_S = 0.2
+FIRST_ANSWER_S = 0.1
 
 
 class Targets:
-    """Plain targets with slots, before which a queue stands or does not."""
+    """Plain targets with slots, with or without a queue in front of them."""
 
     def __init__(self, count):
         self.candidates = [
@@ -42,13 +42,13 @@
         self.in_time = self.late = self.refused = 0
         self.refused_after = []
 
-    def asking(self, loop):
+    def request_slot(self, loop):
         return self.queue.take_slot(ticket(loop.time()))
 
-    async def caller(self, ticket, use_line):
+    async def caller(self, ticket, use_queue):
         loop = asyncio.get_running_loop()
         slot = None
-        if use_line:
+        if use_queue:
             outcome = await self.queue.take_slot(ticket)
             if isinstance(outcome, Overloaded):
                 self.refused += 1
@@ -56,12 +56,12 @@
                 return
             slot = outcome.slot
         async with self.slots:
-            await asyncio.sleep(FIRST_S)
+            await asyncio.sleep(FIRST_ANSWER_S)
             first_s = loop.time() - ticket.arrived_at
-            await asyncio.sleep(WORK_S - FIRST_S)
+            await asyncio.sleep(WORK_S - FIRST_ANSWER_S)
         if loop.time() > ticket.deadline_at:
             self.refused += 1
-        elif first_s <= GOAL_S:
+        elif first_s <= OBJECTIVE_S:
             self.in_time += 1
         else:
             self.late += 1
@@ -71,10 +71,10 @@
 
 
 def ticket(now, priority=1):
-    return QueueTicket("s", "", priority, now, GOAL_S, now + DEADLINE_S)
+    return QueueTicket("s", "", priority, now, OBJECTIVE_S, now + DEADLINE_S)
 
 
-def play(loop, rate, seconds, *, use_line, count=4):
+def simulate(loop, rate, seconds, *, use_queue, count=4):
     async def scenario():
         targets = Targets(count)
         rng = random.Random(7)
@@ -88,7 +88,7 @@
         serving = asyncio.create_task(serve_often())
         end = loop.time() + seconds
         while loop.time() < end:
-            work = targets.caller(ticket(loop.time()), use_line)
+            work = targets.caller(ticket(loop.time()), use_queue)
             callers.append(asyncio.create_task(work))
             await asyncio.sleep(rng.expovariate(rate))
         await asyncio.gather(*callers)
@@ -98,36 +98,36 @@
     return loop.run(scenario())
 
 
-def test_below_capacity_nobody_waits_or_is_refused(loop):
-    targets = play(loop, 10, 20, use_line=True)
+def test_below_capacity_no_request_waits_or_is_refused(loop):
+    targets = simulate(loop, 10, 20, use_queue=True)
     assert targets.refused == 0
     assert targets.late < 0.02 * targets.in_time
 
 
-def test_at_half_more_than_capacity_most_of_it_is_in_time(loop):
-    """16 slots of 1 s, 24 callers a second, for 8 s."""
-    without = play(loop, 24, 8, use_line=False)
-    with_line = play(loop, 24, 8, use_line=True)
+def test_above_capacity_the_queue_serves_most_requests_and_more_in_time(loop):
+    """24 callers a second for 16 slots of 1 s, over 8 s."""
+    without = simulate(loop, 24, 8, use_queue=False)
+    with_queue = simulate(loop, 24, 8, use_queue=True)
     assert without.in_time < 40
-    assert with_line.in_time > 2 * without.in_time
-    total = with_line.in_time + with_line.late + with_line.refused
-    assert with_line.in_time + with_line.late > 0.6 * total
+    assert with_queue.in_time > 2 * without.in_time
+    total = with_queue.in_time + with_queue.late + with_queue.refused
+    assert with_queue.in_time + with_queue.late > 0.6 * total
 
 
-def test_whoever_is_refused_hears_it_with_most_of_its_time_left(loop):
-    targets = play(loop, 40, 8, use_line=True)
+def test_refusals_come_while_most_of_the_time_is_left(loop):
+    targets = simulate(loop, 40, 8, use_queue=True)
     assert targets.refused
     assert max(targets.refused_after) <= DEADLINE_S * 0.33 + 0.11
 
 
-def test_urgent_kinds_come_first(loop):
+def test_urgent_priorities_are_served_first(loop):
     async def scenario():
         targets = Targets(1)
         slots = []
         for _ in range(SLOTS):
-            turn = await targets.asking(loop)
-            assert isinstance(turn, SlotTaken)
-            slots.append(turn.slot)
+            outcome = await targets.request_slot(loop)
+            assert isinstance(outcome, SlotTaken)
+            slots.append(outcome.slot)
         served = []
 
         async def wait(priority):
@@ -146,11 +146,11 @@
     loop.run(scenario())
 
 
-def test_without_any_target_all_hear_it_at_once(loop):
+def test_without_any_target_requests_are_refused_at_once(loop):
     async def scenario():
         targets = Targets(1)
         for _ in range(SLOTS):
-            await targets.asking(loop)
+            await targets.request_slot(loop)
         waiting = asyncio.create_task(
             targets.queue.take_slot(ticket(loop.time()))
         )
@@ -158,14 +158,14 @@
         targets.candidates.clear()
         targets.queue.serve()
         assert (await waiting).reason == "no_target"
-        outcome = await targets.asking(loop)
+        outcome = await targets.request_slot(loop)
         assert outcome.reason == "no_target"
 
     loop.run(scenario())
 
 
-def test_a_change_of_weights_is_waited_for(loop):
-    """For half a second no target may serve; then all may again."""
+def test_requests_wait_for_a_change_of_weights(loop):
+    """No target can serve for half a second; then all can again."""
 
     async def scenario():
         targets = Targets(2)
@@ -176,9 +176,11 @@
             lambda _: bool(ready),
         )
         for _ in range(4):
-            await targets.asking(loop)
+            await targets.request_slot(loop)
         targets.candidates.clear()
-        waiting = [asyncio.create_task(targets.asking(loop)) for _ in range(4)]
+        waiting = [
+            asyncio.create_task(targets.request_slot(loop)) for _ in range(4)
+        ]
         await asyncio.sleep(0.5)
         targets.queue.serve()
         assert not any(task.done() for task in waiting)
@@ -190,29 +192,29 @@
     loop.run(scenario())
 
 
-@pytest.mark.parametrize("at_its_turn", [False, True])
-def test_a_caller_that_leaves_the_line_takes_no_slot(loop, at_its_turn):
+@pytest.mark.parametrize("has_slot", [False, True])
+def test_a_caller_that_leaves_the_queue_keeps_no_slot(loop, has_slot):
     async def scenario():
         targets = Targets(1)
-        turns = [await targets.asking(loop) for _ in range(SLOTS)]
+        granted = [await targets.request_slot(loop) for _ in range(SLOTS)]
         waiting = asyncio.create_task(
             targets.queue.take_slot(ticket(loop.time()))
         )
         await asyncio.sleep(0.01)
-        if at_its_turn:
-            turns[0].slot.give_back()
+        if has_slot:
+            granted[0].slot.give_back()
             targets.queue.serve()
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        if not at_its_turn:
-            turns[0].slot.give_back()
-        assert isinstance(await targets.asking(loop), SlotTaken)
+        if not has_slot:
+            granted[0].slot.give_back()
+        assert isinstance(await targets.request_slot(loop), SlotTaken)
 
     loop.run(scenario())
 
 
-def test_after_a_pause_the_first_turns_do_not_turn_others_away(loop):
-    """All targets come back at once, before thirty callers in the queue."""
+def test_after_a_pause_the_first_grants_do_not_cause_refusals(loop):
+    """One target returns first, then the others, before 28 waiting callers."""
 
     async def scenario():
         targets = Targets(4)
@@ -223,11 +225,15 @@
             lambda candidate, ticket: targets.placer.take(candidate),
             lambda _: True,
         )
-        waiting = [asyncio.create_task(targets.asking(loop)) for _ in range(18)]
+        waiting = [
+            asyncio.create_task(targets.request_slot(loop)) for _ in range(18)
+        ]
         await asyncio.sleep(0.5)
         targets.candidates.extend(ready[:1])
         targets.queue.serve()
-        later = [asyncio.create_task(targets.asking(loop)) for _ in range(10)]
+        later = [
+            asyncio.create_task(targets.request_slot(loop)) for _ in range(10)
+        ]
         await asyncio.sleep(0.05)
         assert not any(task.done() for task in later)
         targets.candidates.extend(ready[1:])
@@ -239,15 +245,15 @@
     loop.run(scenario())
 
 
-def test_whoever_is_refused_hears_how_long_the_line_is(loop):
-    """Two turns of 0.1 s at a time; thirty callers wait before the last."""
+def test_a_refusal_contains_the_predicted_wait(loop):
+    """Two slots of 0.1 s each; thirty callers wait ahead of the crowd."""
 
     async def scenario():
         targets = Targets(1)
         targets.candidates[0] = Candidate("t0", "x:0", "d", "r", 2)
 
         async def caller():
-            outcome = await targets.asking(loop)
+            outcome = await targets.request_slot(loop)
             if isinstance(outcome, SlotTaken):
                 await asyncio.sleep(0.1)
                 outcome.slot.give_back()
@@ -258,20 +264,20 @@
         await asyncio.sleep(0.55)
         crowd = [asyncio.create_task(caller()) for _ in range(60)]
         await asyncio.sleep(0.01)
-        at_once = [task.result() for task in crowd if task.done()]
-        refused = [o for o in at_once if isinstance(o, Overloaded)]
+        immediate = [task.result() for task in crowd if task.done()]
+        refused = [o for o in immediate if isinstance(o, Overloaded)]
         assert len(refused) > 10
         await asyncio.gather(*early, *crowd)
-        # About twenty turns a second, and more than the third of six seconds.
+        # About twenty grants a second, and more than a third of six seconds.
         assert all(1.5 < o.foreseen_s < 5 for o in refused)
 
     loop.run(scenario())
 
 
-def test_whoever_waits_for_long_is_named_once_and_others_never(loop):
+def test_only_long_waits_are_reported_and_each_once(loop):
     async def scenario():
         targets = Targets(1)
-        slots = [(await targets.asking(loop)).slot for _ in range(SLOTS)]
+        slots = [(await targets.request_slot(loop)).slot for _ in range(SLOTS)]
         short, long = (
             asyncio.create_task(targets.queue.take_slot(ticket(loop.time(), p)))
             for p in (0, 1)
@@ -293,21 +299,23 @@
 
 
 @pytest.mark.parametrize(
-    ("held", "reason"), [(True, "overloaded"), (False, "no_target")]
+    ("has_full_targets", "reason"), [(True, "overloaded"), (False, "no_target")]
 )
-def test_a_refusal_after_a_wait_says_what_was_wanting(loop, held, reason):
-    """Targets are full, or are ready and can't serve it."""
+def test_a_refusal_after_a_wait_contains_its_reason(
+    loop, has_full_targets, reason
+):
+    """Targets are full, or none can serve the request."""
 
     async def scenario():
         targets = Targets(1)
         for _ in range(SLOTS):
-            await targets.asking(loop)
+            await targets.request_slot(loop)
         targets.queue = RequestQueue(
             lambda _: targets.placer.choose(targets.candidates, ()),
             lambda candidate, ticket: targets.placer.take(candidate),
             lambda _: True,
         )
-        if not held:
+        if not has_full_targets:
             targets.candidates.clear()
         waiting = asyncio.create_task(
             targets.queue.take_slot(ticket(loop.time()))
@@ -322,37 +330,39 @@
     loop.run(scenario())
 
 
-def test_a_flood_of_refusals_asks_seldom_shortage(loop):
+def test_many_refusals_share_one_lookup_of_their_reason(loop):
     async def scenario():
         targets = Targets(1)
-        asked = []
+        choose_times = []
 
         def choose(_):
-            asked.append(loop.time())
+            choose_times.append(loop.time())
             return targets.placer.choose(targets.candidates, ())
 
         targets.queue = RequestQueue(
             choose, lambda candidate, ticket: targets.placer.take(candidate)
         )
         for _ in range(SLOTS):
-            await targets.asking(loop)
-        crowd = [asyncio.create_task(targets.asking(loop)) for _ in range(300)]
+            await targets.request_slot(loop)
+        crowd = [
+            asyncio.create_task(targets.request_slot(loop)) for _ in range(300)
+        ]
         await asyncio.sleep(DEADLINE_S * 0.33 + 0.01)
-        asked.clear()
+        choose_times.clear()
         targets.queue.serve()
         outcomes = await asyncio.gather(*crowd)
         assert all(outcome.reason == "overloaded" for outcome in outcomes)
-        # Whether the first in queue may go, and what is wanting for all.
-        assert len(asked) == 2
+        # One for the first request of the queue, one for the shared reason.
+        assert len(choose_times) == 2
 
     loop.run(scenario())
 
 
-def test_who_waits_for_targets_that_rest_again_is_told_when_they_are_back(
+def test_a_refusal_during_back_off_contains_its_end(
     loop,
 ):
     async def scenario():
-        closed = Closed("resting", REST_AGAIN_S, REST_AGAIN_S)
+        closed = Closed("resting", BACK_OFF_S, BACK_OFF_S)
         queue = RequestQueue(
             lambda _: None, lambda *_: None, closed=lambda *_: closed
         )
@@ -364,28 +374,28 @@
         queue.serve()
         outcome = await waiting
         assert outcome.reason == "resting"
-        assert outcome.returns_s == REST_AGAIN_S
+        assert outcome.returns_s == BACK_OFF_S
 
     loop.run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("took_s", "waited_s"),
+    ("answer_times_s", "waited_s"),
     [
-        # Of a goal of 0.4 s, 0.2 s are left for waiting.
+        # Of an objective of 0.4 s, 0.2 s are left for waiting.
         ([0.2] * 20, 0.22),
         # One answer in six takes 0.3 s.
         ([0.1] * 17 + [0.3] * 3, 0.12),
     ],
 )
-def test_who_goes_first_follows_from_what_targets_take_to_begin(
-    loop, took_s, waited_s
+def test_order_in_the_queue_follows_the_times_to_first_answer(
+    loop, answer_times_s, waited_s
 ):
     async def scenario():
         targets = Targets(1)
-        slots = [(await targets.asking(loop)).slot for _ in range(SLOTS)]
-        for each_s in took_s:
-            targets.queue.first_answered("s", each_s)
+        slots = [(await targets.request_slot(loop)).slot for _ in range(SLOTS)]
+        for answer_time_s in answer_times_s:
+            targets.queue.first_answered("s", answer_time_s)
         served = []
 
         async def wait(name):
@@ -406,36 +416,37 @@
     loop.run(scenario())
 
 
-def test_while_more_come_than_targets_carry_nobody_is_served_late(loop):
-    """16 slots of 1 s and 32 callers a second, for 12 s."""
-    targets = play(loop, 32, 12, use_line=True)
+def test_during_a_standing_queue_few_requests_are_served_late(loop):
+    """32 callers a second for 16 slots of 1 s, over 12 s."""
+    targets = simulate(loop, 32, 12, use_queue=True)
     assert targets.in_time > 0.8 * 16 * 12
     assert targets.late < 0.15 * targets.in_time
-    # Who is refused hears it while its goal has not passed, but for the first
-    # second of it.
-    assert sum(after <= GOAL_S + 0.11 for after in targets.refused_after) > (
-        0.85 * targets.refused
-    )
+    # Refusals come before the latency objective has passed, except in the first
+    # second of the overload.
+    assert sum(
+        after <= OBJECTIVE_S + 0.11 for after in targets.refused_after
+    ) > (0.85 * targets.refused)
 
 
-def test_requests_without_a_goal_wait_as_long_as_they_may(loop):
+def test_requests_without_a_latency_objective_wait_to_their_bound(loop):
     async def scenario():
         targets = Targets(1)
         for _ in range(SLOTS):
-            await targets.asking(loop)
+            await targets.request_slot(loop)
         without = QueueTicket("s", "", 1, loop.time(), 0.0, loop.time() + 6)
         waiting = asyncio.create_task(targets.queue.take_slot(without))
-        began_at = loop.time()
+        started_at = loop.time()
         while not waiting.done():
             await asyncio.sleep(0.1)
             targets.queue.serve()
-        assert loop.time() - began_at > 1.9
+        assert loop.time() - started_at > 1.9
 
     loop.run(scenario())
 
 
-def test_a_token_is_used_in_the_moment_in_which_it_comes(loop):
-    # Against one who was let in to wait and is refused when tokens are lost.
+def test_a_token_is_used_at_the_moment_at_which_it_arrives(loop):
+    # Guards against refusing an admitted request after its wait, because a
+    # token was not used in time.
     rate_s = 5.0
 
     async def scenario():
--- a/damaskcroft/routing/tests/test_return_times.py
+++ b/damaskcroft/routing/tests/test_return_times.py
@@ -1,11 +1,11 @@
-"""When refused callers are told to come back."""
+"""Retry-After times for refused callers."""
 
 import random
 
 from damaskcroft.routing import return_after_s
 
 
-def test_refused_callers_return_when_there_should_be_room_and_not_at_once():
+def test_retry_after_follows_the_predicted_wait_and_is_spread():
     rng = random.Random(1)
     unknown = [return_after_s(0.0, rng) for _ in range(200)]
     assert 0.3 < min(unknown) < 0.4 and 0.9 < max(unknown) < 1.0
--- a/damaskcroft/routing/tests/test_unread_bound.py
+++ b/damaskcroft/routing/tests/test_unread_bound.py
@@ -1,4 +1,4 @@
-"""The bound of unread prompts follows how soon engines begin answers."""
+"""The bound on unread prompts follows the time to first event of engines."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 from damaskcroft.routing._unread_bound import UnreadBound
 
-GOAL_S = 0.4
+OBJECTIVE_S = 0.4
 
 
 @pytest.fixture
@@ -14,53 +14,55 @@
     return UnreadBound()
 
 
-async def answers(bound, took_s, seconds):
-    """Twenty answers a second that all took so long to begin."""
+async def record_answers(bound, took_s, seconds):
+    """Records twenty answers a second with the same time to first event."""
     for _ in range(int(20 * seconds)):
         await asyncio.sleep(0.05)
-        bound.note(took_s, GOAL_S)
+        bound.note(took_s, OBJECTIVE_S)
 
 
-def test_it_falls_while_answers_begin_late_and_rises_again(loop, bound):
+def test_bound_falls_while_answers_begin_late_and_rises_again(loop, bound):
     async def scenario():
-        most = bound.part
-        await answers(bound, 0.1, 2)
-        assert bound.part == most
-        await answers(bound, 0.6, 2)
-        fallen = bound.part
-        assert fallen < most / 3
-        await answers(bound, 0.1, 1)
-        assert fallen < bound.part < most
-        await answers(bound, 0.1, 10)
-        assert bound.part == most
+        highest = bound.share
+        await record_answers(bound, 0.1, 2)
+        assert bound.share == highest
+        await record_answers(bound, 0.6, 2)
+        lowered = bound.share
+        assert lowered < highest / 3
+        await record_answers(bound, 0.1, 1)
+        assert lowered < bound.share < highest
+        await record_answers(bound, 0.1, 10)
+        assert bound.share == highest
 
     loop.run(scenario())
 
 
-def test_it_never_falls_to_nothing(loop, bound):
+def test_bound_never_falls_to_zero(loop, bound):
     async def scenario():
-        await answers(bound, 5.0, 60)
-        assert bound.part == pytest.approx(0.02)
+        await record_answers(bound, 5.0, 60)
+        assert bound.share == pytest.approx(0.02)
 
     loop.run(scenario())
 
 
-def test_one_late_answer_among_many_changes_nothing(loop, bound):
+def test_one_late_answer_among_many_does_not_lower_the_bound(loop, bound):
     async def scenario():
-        most = bound.part
+        highest = bound.share
         for _ in range(20):
-            bound.note(5.0, GOAL_S)
-            await answers(bound, 0.1, 0.3)
-        assert bound.part == most
+            bound.note(5.0, OBJECTIVE_S)
+            await record_answers(bound, 0.1, 0.3)
+        assert bound.share == highest
 
     loop.run(scenario())
 
 
-def test_requests_without_a_goal_say_nothing(loop, bound):
+def test_requests_without_a_latency_objective_do_not_change_the_bound(
+    loop, bound
+):
     async def scenario():
         for _ in range(100):
             await asyncio.sleep(0.05)
             bound.note(5.0, 0.0)
-        assert bound.part == UnreadBound().part
+        assert bound.share == UnreadBound().share
 
     loop.run(scenario())
