--- a/damaskcroft/limits/__init__.py
+++ b/damaskcroft/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits on requests a second that targets name for all senders together."""
+"""Rate limits that targets announce for all senders together."""
 
 from damaskcroft.limits._book import LimitBook
 from damaskcroft.limits._bucket import TokenBucket
--- a/damaskcroft/limits/_book.py
+++ b/damaskcroft/limits/_book.py
@@ -1,10 +1,11 @@
-"""Which targets name a limit now, as the whole fleet knows it.
-
-Soft state that entries and control nodes merge in any order: of each start of a
-target the word with the highest revision counts, and of two equal ones the
-lower limit (a last-writer-wins register ordered by a logical clock; Lamport,
-"Time, Clocks, and the Ordering of Events in a Distributed System", 1978). A new
-start names nothing until an answer of its own does.
+"""Registry of the rate limits that targets announce, replicated in the fleet.
+
+It is soft state that entries and control nodes merge in any order: for each
+start of a target (one run of its process) the announcement with the highest
+revision counts, and of two with the same revision the lower limit (a
+last-writer-wins register ordered by a logical clock; Lamport, "Time, Clocks,
+and the Ordering of Events in a Distributed System", 1978). A new start has no
+limit until one of its own answers announces one.
 """
 
 import math
@@ -17,189 +18,205 @@
 
 __all__ = ["LimitBook"]
 
-# A change by less is not told to others.
-_NOTABLE_CHANGE = 0.1
-# After a limit has ended its target gets more and more for so long, from the
-# last rate on, lest every entry turns to it at the same moment.
+# Relative change of a limit below which it is not published.
+_MIN_RELATIVE_CHANGE = 0.1
+# After a limit has ended, the rate of its target rises for this time from the
+# last rate, so that the entries don't all turn to it at the same moment.
 _RAMP_S = 4.0
-_RAMP_DOUBLES_S = 0.5
-_LEAST_RAMP_RATE_S = 1.0
-# A word may come before the announcement of its target.
-_KEPT_WITHOUT_TARGET_S = 60.0
+_RAMP_DOUBLING_S = 0.5
+_MIN_RAMP_RATE_S = 1.0
+# Limits of unknown targets are kept for this time, because a limit may arrive
+# before the announcement of its target.
+_RETENTION_WITHOUT_TARGET_S = 60.0
 # Twice the targets of the largest planned fleet.
-_MAX_KEPT = 8192
+_MAX_LIMITS = 8192
 
 
 class _Limit:
-    """The newest word of one start of a target.
+    """The newest announcement of one start of a target.
 
     Attributes:
-        told: the word.
-        since: when this process took it.
-        limited_since: when it first knew of a limit, whatever its height.
+        announcement: the announcement, as merged.
+        received_at: loop time at which this process received it.
+        limited_since: loop time at which this process first received a limit
+            of any rate.
     """
 
-    __slots__ = ("limited_since", "since", "told")
+    __slots__ = ("limited_since", "received_at", "announcement")
 
     def __init__(
-        self, told: limits_pb2.NamedLimit, limited_since: float | None = None
+        self,
+        announcement: limits_pb2.NamedLimit,
+        limited_since: float | None = None,
     ):
-        self.told = told
-        self.since = now_s()
+        self.announcement = announcement
+        self.received_at = now_s()
         if limited_since is None:
-            limited_since = self.since
+            limited_since = self.received_at
         self.limited_since = limited_since
 
     @property
     def rate_s(self) -> float:
-        """Requests a second, from all senders; infinite without a limit."""
-        if not self.told.lifted:
-            return self.told.rate_s
-        age_s = now_s() - self.since
+        """Requests a second from all senders; infinite without a limit."""
+        if not self.announcement.lifted:
+            return self.announcement.rate_s
+        age_s = now_s() - self.received_at
         if age_s >= _RAMP_S:
             return math.inf
-        least = max(self.told.rate_s, _LEAST_RAMP_RATE_S)
-        return least * 2 ** (age_s // _RAMP_DOUBLES_S)
+        initial_rate_s = max(self.announcement.rate_s, _MIN_RAMP_RATE_S)
+        return initial_rate_s * 2 ** (age_s // _RAMP_DOUBLING_S)
 
 
 class LimitBook:
-    """Limits by the start of the target that named them."""
+    """Rate limits by the start of the target that announced them."""
 
     def __init__(self) -> None:
-        """Creates an empty book."""
+        """Starts empty."""
         self._limits_by_start: dict[str, _Limit] = {}
-        # Those that hold requests back now.
-        self._binding: set[str] = set()
+        # Starts whose limits restrict requests now.
+        self._limited_starts: set[str] = set()
 
     @property
     def is_any(self) -> bool:
-        """Whether any limit holds; costs nothing to ask."""
-        return bool(self._binding)
+        """Whether any limit is in effect; a constant-time check."""
+        return bool(self._limited_starts)
 
     def rate_s(self, start_id: str) -> float:
-        """What a target takes a second; infinite where it names no limit."""
-        if start_id not in self._binding:
+        """Returns a target's limit in requests a second; infinite without."""
+        if start_id not in self._limited_starts:
             return math.inf
         return self._limits_by_start[start_id].rate_s
 
     def limited_since(self, start_id: str) -> float:
-        """When a target's limit came to be known; infinite if it has none."""
-        if start_id not in self._binding:
+        """Returns when a target's limit was first received, else infinity."""
+        if start_id not in self._limited_starts:
             return math.inf
         return self._limits_by_start[start_id].limited_since
 
     def named(self) -> list[limits_pb2.NamedLimit]:
-        """All limits that targets name now."""
-        return [word for word in self.words() if not word.lifted]
+        """Returns all limits that targets announce now."""
+        return [each for each in self.words() if not each.lifted]
 
-    # --- What answers say ---------------------------------------------------
+    # --- Answers --------------------------------------------------------------
 
     def change(
-        self, start_id: str, word: LimitWord, sent_at: float
+        self, start_id: str, header: LimitWord, sent_at: float
     ) -> limits_pb2.NamedLimit | None:
-        """What an answer changes, to be merged here and told to others.
+        """Returns the change by an answer, to be merged here and published.
 
-        Answers overtake each other: a lower limit counts at once, a higher one
-        or none only from a request that was sent after the limit was known.
+        Answers overtake each other: a lower limit counts at once, but a higher
+        one or none only if its request was sent after the limit was received.
 
         Args:
-            start_id: whose answer it is.
-            word: what it says.
-            sent_at: loop time at which its request was sent.
+            start_id: id of the target's start that answered.
+            header: the limit in the answer's header.
+            sent_at: loop time at which the answer's request was sent.
         """
-        if isinstance(word, Unreadable):
-            log_event("limit_unreadable", target=start_id, value=word.value)
+        if isinstance(header, Unreadable):
+            log_event("limit_unreadable", target=start_id, value=header.value)
             return None
-        known = self._limits_by_start.get(start_id)
-        rate_s = word.rate_s if isinstance(word, Named) else math.inf
-        known_rate_s = math.inf
-        if known is not None and not known.told.lifted:
-            known_rate_s = known.told.rate_s
-        if not _differ(rate_s, known_rate_s):
+        current = self._limits_by_start.get(start_id)
+        rate_s = header.rate_s if isinstance(header, Named) else math.inf
+        current_rate_s = math.inf
+        if current is not None and not current.announcement.lifted:
+            current_rate_s = current.announcement.rate_s
+        if not _is_notable_change(rate_s, current_rate_s):
             return None
-        if rate_s > known_rate_s and known and sent_at < known.since:
+        if (
+            rate_s > current_rate_s
+            and current
+            and sent_at < current.received_at
+        ):
             return None
         return limits_pb2.NamedLimit(
             start_id=start_id,
-            rate_s=known_rate_s if math.isinf(rate_s) else rate_s,
+            rate_s=current_rate_s if math.isinf(rate_s) else rate_s,
             lifted=math.isinf(rate_s),
-            revision=known.told.revision + 1 if known else 1,
+            revision=current.announcement.revision + 1 if current else 1,
         )
 
     # --- Merging --------------------------------------------------------------
 
     def take_all(
-        self, told: Iterable[limits_pb2.NamedLimit]
+        self, limits: Iterable[limits_pb2.NamedLimit]
     ) -> list[limits_pb2.NamedLimit]:
-        """Merges words; those that were news."""
-        return [word for word in told if self._take(word)]
+        """Merges announcements; returns those that changed the registry."""
+        return [each for each in limits if self._merge(each)]
 
     def words(self) -> Iterator[limits_pb2.NamedLimit]:
-        """All that is known, for whoever may know less."""
-        return (limit.told for limit in self._limits_by_start.values())
+        """Returns all announcements, including those of lifted limits."""
+        return (limit.announcement for limit in self._limits_by_start.values())
 
     def words_of(
         self, starts: Iterable[str]
     ) -> Iterator[limits_pb2.NamedLimit]:
-        """What is known of some starts; nothing of forgotten ones."""
-        known = (self._limits_by_start.get(start) for start in starts)
-        return (limit.told for limit in known if limit is not None)
-
-    def _take(self, word: limits_pb2.NamedLimit) -> bool:
-        known = self._limits_by_start.get(word.start_id)
-        if known is not None and _order(word) <= _order(known.told):
+        """Returns the announcements of some starts, if still present."""
+        found = (self._limits_by_start.get(start) for start in starts)
+        return (limit.announcement for limit in found if limit is not None)
+
+    def _merge(self, announced: limits_pb2.NamedLimit) -> bool:
+        current = self._limits_by_start.get(announced.start_id)
+        if current is not None and _merge_key(announced) <= _merge_key(
+            current.announcement
+        ):
             return False
-        was_binding = word.start_id in self._binding
-        self._limits_by_start[word.start_id] = _Limit(
-            word, known.limited_since if known and was_binding else None
+        was_limited = announced.start_id in self._limited_starts
+        self._limits_by_start[announced.start_id] = _Limit(
+            announced,
+            current.limited_since if current and was_limited else None,
+        )
+        self._limited_starts.add(announced.start_id)
+        event = (
+            "target_limit_lifted" if announced.lifted else "target_limit_named"
         )
-        self._binding.add(word.start_id)
-        event = "target_limit_lifted" if word.lifted else "target_limit_named"
         log_event(
             event,
-            target=word.start_id,
-            rate_s=word.rate_s,
-            revision=word.revision,
+            target=announced.start_id,
+            rate_s=announced.rate_s,
+            revision=announced.revision,
         )
         metrics.TARGET_LIMIT_CHANGES.labels(
-            "lifted" if word.lifted else "named"
+            "lifted" if announced.lifted else "named"
         ).inc()
         self._drop_oldest()
-        self._show()
+        self._update_metric()
         return True
 
-    # --- Bounds ---------------------------------------------------------------
+    # --- Expiry ---------------------------------------------------------------
 
     def forget_all_but(self, start_ids: Collection[str]) -> None:
-        """Drops words of targets that are gone, and limits that have ended."""
+        """Drops limits of targets that are gone, and those that have ended."""
         if not self._limits_by_start:
             return
         now = now_s()
         for start, limit in list(self._limits_by_start.items()):
-            is_old = now - limit.since > _KEPT_WITHOUT_TARGET_S
-            if is_old and start not in start_ids:
+            is_expired = now - limit.received_at > _RETENTION_WITHOUT_TARGET_S
+            if is_expired and start not in start_ids:
                 self._drop(start)
             elif math.isinf(limit.rate_s):
-                self._binding.discard(start)
-        self._show()
+                self._limited_starts.discard(start)
+        self._update_metric()
 
     def _drop_oldest(self) -> None:
-        while len(self._limits_by_start) > _MAX_KEPT:
+        while len(self._limits_by_start) > _MAX_LIMITS:
             self._drop(next(iter(self._limits_by_start)))
 
     def _drop(self, start: str) -> None:
         del self._limits_by_start[start]
-        self._binding.discard(start)
+        self._limited_starts.discard(start)
 
-    def _show(self) -> None:
-        metrics.TARGETS_LIMITED.set(len(self._binding))
+    def _update_metric(self) -> None:
+        metrics.TARGETS_LIMITED.set(len(self._limited_starts))
 
 
-def _differ(rate_s: float, known_rate_s: float) -> bool:
-    if math.isinf(rate_s) or math.isinf(known_rate_s):
-        return rate_s != known_rate_s
-    return abs(rate_s - known_rate_s) > _NOTABLE_CHANGE * known_rate_s
+def _is_notable_change(rate_s: float, current_rate_s: float) -> bool:
+    if math.isinf(rate_s) or math.isinf(current_rate_s):
+        return rate_s != current_rate_s
+    return abs(rate_s - current_rate_s) > _MIN_RELATIVE_CHANGE * current_rate_s
 
 
-def _order(word: limits_pb2.NamedLimit) -> tuple[int, float]:
-    return word.revision, -math.inf if word.lifted else -word.rate_s
+def _merge_key(announced: limits_pb2.NamedLimit) -> tuple[int, float]:
+    return (
+        announced.revision,
+        -math.inf if announced.lifted else -announced.rate_s,
+    )
--- a/damaskcroft/limits/_paced.py
+++ b/damaskcroft/limits/_paced.py
@@ -1,4 +1,4 @@
-"""What one entry may send to targets that named limits."""
+"""One entry's share of the rate limits that targets announce."""
 
 import math
 from collections.abc import Callable, Iterable
@@ -8,24 +8,24 @@
 from damaskcroft.limits._book import LimitBook
 from damaskcroft.limits._bucket import TokenBucket
 from damaskcroft.limits._named import LimitWord
-from damaskcroft.limits._shares import LEAST_RATE_S, sending_share
+from damaskcroft.limits._shares import MIN_RATE_S, sending_share
 
 __all__ = ["RateLimits"]
 
-# A limited target is left to callers whom no other target could take, unless
-# it has had nothing for so long: a limit's end shows in answers only.
-_SPARED_FOR_S = 2.0
+# A limited target gets only requests that no other target can accept, unless it
+# has received none for this time: only an answer reveals the end of a limit.
+_PROBE_INTERVAL_S = 2.0
 
 
 class _Share:
     """This entry's share of one limit.
 
     Attributes:
-        rate_s: the limit that it is a share of.
-        entries: among whom it is split.
-        share_s: requests a second; 0 where others send.
-        bucket: what may leave now; None without a share.
-        sent_at: when the last request left.
+        rate_s: the whole limit in requests a second.
+        entries: names of the entries among which it is split.
+        share_s: this entry's requests a second; 0 if only others send.
+        bucket: token bucket of the share; None without a share.
+        sent_at: loop time at which the last request was sent.
     """
 
     __slots__ = ("bucket", "entries", "rate_s", "sent_at", "share_s")
@@ -37,7 +37,7 @@
         self.bucket: TokenBucket | None = None
         self.sent_at = -math.inf
 
-    def split(
+    def update(
         self, rate_s: float, entries: frozenset[str], share_s: float
     ) -> None:
         self.rate_s, self.entries, self.share_s = rate_s, entries, share_s
@@ -50,13 +50,14 @@
 
 
 class RateLimits:
-    """Keeps this entry's part of the limits that targets have named.
+    """Enforces this entry's share of the rate limits of targets.
 
     Args:
-        book: what the fleet knows.
-        own_name: this entry's.
-        entries: names of all entries of the fleet.
-        tell: tells the fleet, and the book, what has changed.
+        book: registry of the limits that are known in the fleet.
+        own_name: name of this entry.
+        entries: returns the names of all entries of the fleet.
+        publish: merges changed limits into the registry and sends them to the
+            fleet.
     """
 
     def __init__(
@@ -64,74 +65,77 @@
         book: LimitBook,
         own_name: str,
         entries: Callable[[], frozenset[str]],
-        tell: Callable[[Iterable[limits_pb2.NamedLimit]], object],
+        publish: Callable[[Iterable[limits_pb2.NamedLimit]], object],
     ):
-        """See the class."""
+        """Starts without shares."""
         self._book = book
         self._own_name = own_name
         self._entries = entries
-        self._tell = tell
+        self._publish = publish
         self._shares_by_start: dict[str, _Share] = {}
 
     @property
     def is_any(self) -> bool:
-        """Whether any target has named a limit; costs nothing to ask."""
+        """Whether any target has a rate limit; a constant-time check."""
         return self._book.is_any
 
-    def answered(self, start_id: str, word: LimitWord, sent_at: float) -> None:
-        """Takes what an answer says of its target's limit.
+    def answered(
+        self, start_id: str, header: LimitWord, sent_at: float
+    ) -> None:
+        """Records the rate limit in an answer's header.
 
         Args:
-            start_id: the target's start.
-            word: what it says.
+            start_id: id of the target's start.
+            header: the limit in the answer's header.
             sent_at: loop time at which the request was sent.
         """
-        change = self._book.change(start_id, word, sent_at)
+        change = self._book.change(start_id, header, sent_at)
         if change is not None:
-            self._tell([change])
+            self._publish([change])
 
     def waits_s(self, start_id: str) -> float:
-        """Until a target may be sent a request from here.
+        """Returns the time until this entry may send a target a request.
 
         Returns:
-            Seconds; 0 if it may be now, infinite where other entries send.
+            Seconds; 0 if it may now, infinite if only other entries send.
         """
-        share = self._share(start_id)
+        share = self._current_share(start_id)
         if share is None:
             return 0.0
         return share.bucket.wait_s() if share.bucket else math.inf
 
     def share_s(self, start_id: str) -> float:
-        """Requests a second from here; infinite without a limit."""
-        share = self._share(start_id)
+        """Returns this entry's requests a second; infinite without a limit."""
+        share = self._current_share(start_id)
         return math.inf if share is None else share.share_s
 
     def returns_s(self, start_id: str) -> float:
-        """When a target should have room for a caller, at whichever entry."""
+        """Predicts the time until a target accepts a request of any entry."""
         waits_s = self.waits_s(start_id)
         if math.isfinite(waits_s):
             return waits_s
-        return 1 / max(self._book.rate_s(start_id), LEAST_RATE_S)
+        return 1 / max(self._book.rate_s(start_id), MIN_RATE_S)
 
     def is_spared(self, start_id: str) -> bool:
-        """Whether other targets with room go first."""
+        """Whether other targets with room are preferred to a limited one."""
         if not self.is_any:
             return False
-        share = self._share(start_id)
-        return share is not None and now_s() - share.sent_at < _SPARED_FOR_S
+        share = self._current_share(start_id)
+        return share is not None and now_s() - share.sent_at < _PROBE_INTERVAL_S
 
     def is_due(self, start_id: str) -> bool:
-        """Whether a limited target goes before others that have room.
+        """Whether a limited target is preferred to others with room.
 
-        Left to chance, nobody might ask it for long after its limit ended.
+        If this were left to chance, it might get no request, and the end of its
+        limit go unnoticed, for a long time.
         """
-        if not self.is_any or self._share(start_id) is None:
+        if not self.is_any or self._current_share(start_id) is None:
             return False
         return not self.is_spared(start_id)
 
     def sending(self, start_id: str) -> None:
         """Takes a token for a request that is about to be sent."""
-        share = self._share(start_id)
+        share = self._current_share(start_id)
         if share is None:
             return
         share.sent_at = now_s()
@@ -139,10 +143,14 @@
             share.bucket.take()
 
     def may_still_be_sent(self, start_id: str, since: float) -> bool:
-        """Whether a request may be sent that took its place at some time.
+        """Whether a request may be sent whose slot was taken at a given time.
+
+        If a limit was first received after that, the request has no token yet
+        and takes one here.
 
-        A limit may have come to be known meanwhile: it has no token then, and
-        takes one here.
+        Args:
+            start_id: id of the target's start.
+            since: loop time at which the slot was taken.
         """
         if since >= self._book.limited_since(start_id) or not self.is_any:
             return True
@@ -152,18 +160,20 @@
         return True
 
     def forget_all_but(self, start_ids: Iterable[str]) -> None:
-        """Drops what is kept of targets that are gone."""
+        """Drops the shares of targets that are gone."""
         for start in self._shares_by_start.keys() - set(start_ids):
             del self._shares_by_start[start]
 
-    def _share(self, start_id: str) -> _Share | None:
-        """This entry's share as it is now; None without a limit."""
+    def _current_share(self, start_id: str) -> _Share | None:
+        """Returns this entry's current share; None without a limit."""
         rate_s = self._book.rate_s(start_id)
         if math.isinf(rate_s):
             return None
         share = self._shares_by_start.setdefault(start_id, _Share())
         entries = self._entries()
         if share.rate_s != rate_s or share.entries != entries:
-            part_s = sending_share(start_id, rate_s, self._own_name, entries)
-            share.split(rate_s, entries, part_s)
+            own_share_s = sending_share(
+                start_id, rate_s, self._own_name, entries
+            )
+            share.update(rate_s, entries, own_share_s)
         return share
--- a/damaskcroft/limits/_shares.py
+++ b/damaskcroft/limits/_shares.py
@@ -1,54 +1,55 @@
-"""How entries share a target's limit without asking each other.
+"""Split of a target's rate limit among entries, without communication.
 
-A limit of some requests a second is split among few entries, the same ones
-wherever it is worked out (rendezvous hashing; Thaler and Ravishankar, "Using
-name-based mappings to increase hit rates", 1998). Split among all of a large
-fleet, a share would be a request in minutes, and a token kept by each of them
-would together be a burst. The others send elsewhere.
+A limit of some requests a second is split among few entries, which every entry
+determines alike (rendezvous hashing; Thaler and Ravishankar, "Using name-based
+mappings to increase hit rates", 1998). If it were split among all entries of a
+large fleet, each share would be one request in minutes, and the tokens that all
+of them keep would together be a burst. The other entries send to other targets.
 """
 
 import hashlib
 from collections.abc import Collection
 
-__all__ = ["LEAST_RATE_S", "sending_share"]
+__all__ = ["MIN_RATE_S", "sending_share"]
 
-# A target that takes less is still tried so often, or its limit would never be
-# known to have ended.
-LEAST_RATE_S = 0.25
-# Each sender may hold a token: so many of them send that these are no more than
-# half a limit brings in four seconds, and two.
-_SENDERS_FOR_RATE = 2.0
-_SENDERS_BESIDE = 2
+# A target with a lower limit still gets requests at this rate, because
+# otherwise the end of its limit would never be noticed.
+MIN_RATE_S = 0.25
+# Senders per request a second, and additional ones. Each sender may hold a
+# token: with these values the tokens are at most half of what a limit allows in
+# four seconds, plus two.
+_SENDERS_PER_RATE = 2.0
+_EXTRA_SENDERS = 2
 _DIGEST_BYTES = 8
 
 
 def sending_share(
     start_id: str, rate_s: float, own_name: str, entries: Collection[str]
 ) -> float:
-    """What one entry may send to a target that named a limit.
+    """Returns one entry's share of a target's rate limit.
 
     Args:
-        start_id: the target's start.
+        start_id: id of the target's start.
         rate_s: its limit for all entries together, in requests a second.
-        own_name: the entry.
+        own_name: name of the entry.
         entries: names of all entries.
 
     Returns:
-        Requests a second; 0 where others send.
+        Requests a second; 0 if only other entries send.
     """
     names = {own_name, *entries}
-    senders = min(len(names), _senders(rate_s))
-    own = _weight(start_id, own_name)
-    before = sum(_weight(start_id, name) > own for name in names)
-    if before >= senders:
+    sender_count = min(len(names), _max_senders(rate_s))
+    own_weight = _weight(start_id, own_name)
+    count_ahead = sum(_weight(start_id, name) > own_weight for name in names)
+    if count_ahead >= sender_count:
         return 0.0
-    return max(rate_s, LEAST_RATE_S) / senders
+    return max(rate_s, MIN_RATE_S) / sender_count
 
 
-def _senders(rate_s: float) -> int:
-    if rate_s <= LEAST_RATE_S:
+def _max_senders(rate_s: float) -> int:
+    if rate_s <= MIN_RATE_S:
         return 1
-    return int(_SENDERS_FOR_RATE * rate_s) + _SENDERS_BESIDE
+    return int(_SENDERS_PER_RATE * rate_s) + _EXTRA_SENDERS
 
 
 def _weight(start_id: str, name: str) -> bytes:
--- a/damaskcroft/limits/tests/plays.py
+++ b/damaskcroft/limits/tests/plays.py
@@ -1,9 +1,9 @@
-"""Entries that share one target's limit, in virtual time, by several ways.
+"""Simulation of entries that share one target's rate limit, in virtual time.
 
     python -m damaskcroft.limits.tests.plays
 
-prints, for each way and fleet: the most requests in any four seconds, what is
-allowed, and how much of the named rate was used.
+prints, for each policy and fleet: the maximum number of requests in any four
+seconds, the number allowed, and the used share of the announced rate.
 """
 
 import asyncio
@@ -19,36 +19,39 @@
 
 
 def among_all(start_id, rate_s, own_name, entries):
-    """Each entry gets the same share."""
+    """Gives each entry the same share."""
     del start_id, own_name
     return rate_s / len(entries)
 
 
 def by_one(start_id, rate_s, own_name, entries):
-    """One entry sends; the others send elsewhere."""
+    """Gives one entry the whole limit."""
     del start_id
     return rate_s if own_name == min(entries) else 0.0
 
 
 def by_demand(demand_s_by_name):
-    """What leases by demand come to once all is known: no skew, no loss."""
-    whole_s = sum(demand_s_by_name.values())
+    """Returns the policy that leases by demand approach.
+
+    It assumes that all demand is known, without skew and without loss.
+    """
+    total_s = sum(demand_s_by_name.values())
 
     def share(start_id, rate_s, own_name, entries):
         del start_id, entries
-        return rate_s * demand_s_by_name[own_name] / whole_s
+        return rate_s * demand_s_by_name[own_name] / total_s
 
     return share
 
 
-class Play:
-    """Entries whose callers all want one limited target.
+class Simulation:
+    """Entries whose callers all request one limited target.
 
     Args:
-        share: the way, as `sending_share`.
+        share: the policy, with the signature of `sending_share`.
         rate_s: the limit.
         demand_s_by_name: requests a second of each entry's callers.
-        seed: names the arrivals.
+        seed: seed of the arrivals.
     """
 
     def __init__(self, share, rate_s, demand_s_by_name, seed=0):
@@ -76,8 +79,8 @@
                 self.sent_at.append(loop.time())
 
     @property
-    def most(self):
-        """The most requests in any window."""
+    def max_requests(self):
+        """The maximum number of requests in any window."""
         times = sorted(self.sent_at)
         return max(
             (
@@ -88,51 +91,52 @@
         )
 
     @property
-    def used(self):
-        """The share of the named rate that was sent."""
+    def used_share(self):
+        """The share of the announced rate that was sent."""
         return len(self.sent_at) / (self._rate_s * _SECONDS)
 
 
 def demand_of(entries, skew):
-    """Ten requests a second for each entry; `skew` moves them to the first."""
+    """Returns ten requests a second per entry; `skew` favours the first."""
     weights = [1 / (n + 1) ** skew for n in range(entries)]
-    whole_s = 10.0 * entries
+    total_s = 10.0 * entries
     return {
-        f"entry-{n}": whole_s * weight / sum(weights)
+        f"entry-{n}": total_s * weight / sum(weights)
         for n, weight in enumerate(weights)
     }
 
 
-def allowed(rate_s):
-    """What the platform's rule allows in a window."""
+def allowed_requests(rate_s):
+    """Returns the number of requests that the platform allows in a window."""
     return 1.5 * WINDOW_S * rate_s + 5
 
 
-def played(share, rate_s, demand_s_by_name, seed=0):
-    """A play that has ended."""
-    play = Play(share, rate_s, demand_s_by_name, seed)
+def simulate(share, rate_s, demand_s_by_name, seed=0):
+    """Returns a simulation that has ended."""
+    simulation = Simulation(share, rate_s, demand_s_by_name, seed)
     loop = VirtualTimeLoop()
-    loop.run(play.run())
+    loop.run(simulation.run())
     loop.close()
-    return play
+    return simulation
 
 
 def main():
     for entries, skew in ((4, 0), (15, 0), (15, 1.5), (350, 0)):
         demand = demand_of(entries, skew)
-        ways = {
+        policies = {
             "among all": among_all,
             "by one": by_one,
             "by few": sending_share,
             "by demand": by_demand(demand),
         }
         for rate_s in (0.5, 1, 5, 40):
-            for way, share in ways.items():
-                play = played(share, rate_s, demand)
+            for policy, share in policies.items():
+                result = simulate(share, rate_s, demand)
                 print(
                     f"{entries:3d} entries, skew {skew}: {rate_s:4} a second, "
-                    f"{way:9}: most {play.most:3d} of {allowed(rate_s):5}, "
-                    f"used {play.used:.2f}"
+                    f"{policy:9}: most {result.max_requests:3d} of "
+                    f"{allowed_requests(rate_s):5}, "
+                    f"used {result.used_share:.2f}"
                 )
 
 
--- a/damaskcroft/limits/tests/test_named.py
+++ b/damaskcroft/limits/tests/test_named.py
@@ -1,4 +1,4 @@
-"""What the values of a limit's header mean."""
+"""Parsing of the rate limit header."""
 
 import pytest
 
@@ -13,7 +13,7 @@
     assert limit_named([value]) == Named(rate_s)
 
 
-def test_without_a_header_none_is_named():
+def test_without_a_header_no_limit_is_announced():
     assert limit_named([]) == Unnamed()
 
 
@@ -24,9 +24,9 @@
         "9" * 300, "\u0661", "1_0", ".5", "5.", "\xff",
     ],
 )  # fmt: skip
-def test_what_is_no_decimal_number_is_no_word(value):
+def test_other_values_are_unreadable(value):
     assert isinstance(limit_named([value]), Unreadable)
 
 
-def test_two_headers_are_no_word():
+def test_two_headers_are_unreadable():
     assert isinstance(limit_named(["1", "2"]), Unreadable)
--- a/damaskcroft/limits/tests/test_paced.py
+++ b/damaskcroft/limits/tests/test_paced.py
@@ -1,4 +1,4 @@
-"""What one entry may send to targets that named limits."""
+"""One entry's share of the rate limits that targets announce."""
 
 import asyncio
 import math
@@ -9,7 +9,7 @@
 
 
 class Entry:
-    """The limits of one entry, beside others by name."""
+    """The rate limits of one entry, next to other entries by name."""
 
     def __init__(self, *others):
         self.book = LimitBook()
@@ -18,11 +18,11 @@
             self.book, "own", lambda: self.others, self.book.take_all
         )
 
-    def name(self, rate_s, start="t@1"):
+    def announce(self, rate_s, start="t@1"):
         self.limits.answered(start, Named(rate_s), 0.0)
 
     async def sent_in(self, seconds, start="t@1"):
-        """How many requests leave while there are always some."""
+        """Returns how many requests are sent while some always wait."""
         sent = 0
         for _ in range(int(seconds * 50)):
             await asyncio.sleep(0.02)
@@ -37,21 +37,21 @@
     return Entry()
 
 
-def test_without_a_limit_nothing_waits(loop, entry):
+def test_without_a_limit_no_request_waits(loop, entry):
     async def scenario():
         assert not entry.limits.is_any
         assert entry.limits.waits_s("t@1") == 0.0
-        entry.name(2.0)
+        entry.announce(2.0)
         assert entry.limits.waits_s("t@2") == 0.0
         assert not entry.limits.is_spared("t@2")
 
     loop.run(scenario())
 
 
-def test_requests_leave_at_the_rate_that_was_named(loop, entry):
+def test_requests_are_sent_at_the_announced_rate(loop, entry):
     async def scenario():
-        entry.name(2.0)
-        # Nobody begins with a token, so that no restart brings a burst.
+        entry.announce(2.0)
+        # Buckets start empty, so that a restart doesn't cause a burst.
         assert entry.limits.waits_s("t@1") == pytest.approx(0.5)
         assert 38 <= await entry.sent_in(20) <= 40
         await asyncio.sleep(60)
@@ -60,38 +60,36 @@
     loop.run(scenario())
 
 
-def test_another_rate_holds_from_the_next_request_on(loop, entry):
+def test_a_changed_rate_applies_from_the_next_request(loop, entry):
     async def scenario():
-        entry.name(20.0)
+        entry.announce(20.0)
         await entry.sent_in(5)
-        entry.name(0.5)
+        entry.announce(0.5)
         assert await entry.sent_in(10) <= 6
 
     loop.run(scenario())
 
 
-def test_one_of_many_entries_leaves_most_targets_to_the_others(loop):
+def test_one_of_many_entries_has_no_share_of_most_targets(loop):
     async def scenario():
         entry = Entry(*(f"e{n}" for n in range(15)))
         starts = [f"t{n}@1" for n in range(100)]
         for start in starts:
-            entry.name(1.0, start)
-        mine = [s for s in starts if math.isfinite(entry.limits.waits_s(s))]
-        assert 5 <= len(mine) <= 50
-        (other, *_) = set(starts) - set(mine)
+            entry.announce(1.0, start)
+        own = [s for s in starts if math.isfinite(entry.limits.waits_s(s))]
+        assert 5 <= len(own) <= 50
+        (other, *_) = set(starts) - set(own)
         assert entry.limits.returns_s(other) == 1.0
 
     loop.run(scenario())
 
 
-def test_a_request_that_took_its_place_before_the_limit_needs_a_token(
-    loop, entry
-):
+def test_a_request_with_a_slot_from_before_the_limit_needs_a_token(loop, entry):
     async def scenario():
         await asyncio.sleep(1)
         taken_at = asyncio.get_running_loop().time()
         await asyncio.sleep(0.1)
-        entry.name(2.0)
+        entry.announce(2.0)
         assert not entry.limits.may_still_be_sent("t@1", taken_at)
         await asyncio.sleep(0.6)
         assert entry.limits.may_still_be_sent("t@1", taken_at)
@@ -103,9 +101,9 @@
     loop.run(scenario())
 
 
-def test_a_limited_target_is_spared_but_tried_from_time_to_time(loop, entry):
+def test_a_limited_target_is_spared_only_for_the_probe_interval(loop, entry):
     async def scenario():
-        entry.name(2.0)
+        entry.announce(2.0)
         assert not entry.limits.is_spared("t@1")
         entry.limits.sending("t@1")
         assert entry.limits.is_spared("t@1")
@@ -115,11 +113,12 @@
     loop.run(scenario())
 
 
-def test_a_limited_target_that_was_left_alone_is_due(loop, entry):
-    # Against a limit whose end nobody hears of, as its target is never tried.
+def test_a_limited_target_without_recent_requests_is_due(loop, entry):
+    # Guards against a rate limit whose end goes unnoticed, because no request
+    # is sent to its target.
     async def scenario():
         assert not entry.limits.is_due("t@1")
-        entry.name(2.0)
+        entry.announce(2.0)
         assert entry.limits.is_due("t@1")
         assert not entry.limits.is_due("t@2")
         entry.limits.sending("t@1")
@@ -130,9 +129,9 @@
     loop.run(scenario())
 
 
-def test_when_a_limit_ends_requests_come_back_step_by_step(loop, entry):
+def test_after_a_limit_the_number_of_requests_rises_step_by_step(loop, entry):
     async def scenario():
-        entry.name(2.0)
+        entry.announce(2.0)
         await entry.sent_in(2)
         entry.limits.answered("t@1", Unnamed(), 1.0)
         counts = [await entry.sent_in(0.5) for _ in range(4)]
--- a/damaskcroft/limits/tests/test_shares.py
+++ b/damaskcroft/limits/tests/test_shares.py
@@ -1,9 +1,9 @@
-"""How a limit is split among entries, and that no burst comes of it."""
+"""Split of a limit among entries, without bursts in the sum."""
 
 import pytest
 
 from damaskcroft.limits import sending_share
-from damaskcroft.limits.tests.plays import allowed, demand_of, played
+from damaskcroft.limits.tests.plays import allowed_requests, demand_of, simulate
 
 
 @pytest.mark.parametrize("entries", [1, 2, 4, 15, 350])
@@ -14,33 +14,33 @@
     assert sum(shares) == pytest.approx(rate_s)
 
 
-def test_a_limit_of_nothing_leaves_one_entry_that_tries_seldom():
+def test_with_a_limit_of_zero_one_entry_sends_at_the_minimum_rate():
     names = [f"e{n}" for n in range(15)]
     shares = [sending_share("t@1", 0, name, names) for name in names]
     assert sorted(shares, reverse=True)[:2] == [0.25, 0.0]
 
 
-def test_an_entry_more_changes_few_shares():
+def test_an_additional_entry_changes_few_shares():
     names = [f"e{n}" for n in range(15)]
-    more = [*names, "added"]
+    with_added = [*names, "added"]
     starts = [f"t{n}@1" for n in range(50)]
-    moved = sum(
+    changed_shares = sum(
         bool(sending_share(start, 1, name, names))
-        != bool(sending_share(start, 1, name, more))
+        != bool(sending_share(start, 1, name, with_added))
         for start in starts
         for name in names
     )
-    # One of sixteen entries takes its part of 50 targets with four senders.
-    assert moved <= 2 * 50 * 4 / 16
+    # One of sixteen entries takes its share of 50 targets with four senders.
+    assert changed_shares <= 2 * 50 * 4 / 16
 
 
 @pytest.mark.parametrize(
     ("entries", "skew"), [(4, 0), (15, 0), (15, 1.5), (350, 0)]
 )
 @pytest.mark.parametrize("rate_s", [0.5, 1, 5, 40])
-def test_targets_get_no_more_than_they_named_and_about_as_much(
+def test_requests_stay_within_the_bound_and_use_over_half_of_the_limit(
     entries, skew, rate_s
 ):
-    play = played(sending_share, rate_s, demand_of(entries, skew))
-    assert play.most <= allowed(rate_s)
-    assert play.used > 0.5
+    result = simulate(sending_share, rate_s, demand_of(entries, skew))
+    assert result.max_requests <= allowed_requests(rate_s)
+    assert result.used_share > 0.5
