--- a/damaskcroft/consensus/__init__.py
+++ b/damaskcroft/consensus/__init__.py
@@ -1,9 +1,10 @@
-"""The replicated log: durable on each replica, agreed by a majority.
+"""A replicated log that survives crashes and the loss of a minority of disks.
 
-Follows "In Search of an Understandable Consensus Algorithm (Extended
-Version)" (Ongaro and Ousterhout, 2014) and, for handovers, pre-vote, leader
-leases and one-at-a-time member changes, Ongaro's dissertation (2014), sections
-3.10, 4, 6.4 and 9.6.
+Each replica keeps the log on its disk; an entry is committed once a majority
+of the voters has synced it. The protocol is Raft, after "In Search of an
+Understandable Consensus Algorithm (Extended Version)" (Ongaro and Ousterhout,
+2014). Leadership transfer, pre-vote, leader leases and single-server membership
+changes follow Ongaro's dissertation (2014), sections 3.10, 4, 6.4 and 9.6.
 """
 
 from damaskcroft.consensus._disk import Disk, FolderDisk
--- a/damaskcroft/consensus/_applier.py
+++ b/damaskcroft/consensus/_applier.py
@@ -1,4 +1,8 @@
-"""From committed entries to the state that they drive."""
+"""Application of committed log entries to the state machine.
+
+The applier also resolves the outcomes that proposers wait for and compacts the
+log by taking snapshots.
+"""
 
 import asyncio
 import contextlib
@@ -13,12 +17,12 @@
 
 
 class Applier:
-    """Applies what is committed, in order, and tells who waits for it.
+    """Applies committed entries in order and resolves the waiting proposals.
 
     Attributes:
-        commit_index: the newest entry known to be committed.
-        applied_index: the newest entry that the state holds.
-        changed: given after entries were applied.
+        commit_index: index of the newest entry known to be committed.
+        applied_index: index of the newest entry applied to the state machine.
+        changed: set after entries were applied.
     """
 
     def __init__(
@@ -27,7 +31,7 @@
         state_machine: StateMachine,
         options: ReplicaOptions,
     ):
-        """Begins with what the log's snapshot holds."""
+        """Restores the state machine from the log's snapshot, if any."""
         self._log = log
         self._state_machine = state_machine
         self._options = options
@@ -36,31 +40,31 @@
         if log.snapshot.state:
             state_machine.restore(log.snapshot.state)
         self.changed = Signal()
-        self._commit_moved = asyncio.Event()
+        self._commit_advanced = asyncio.Event()
         self._waiters_by_index: dict[
             int, tuple[int, asyncio.Future[Outcome]]
         ] = {}
 
-    def commit_up_to(self, index: int) -> None:
-        """Takes word that everything up to an entry is committed."""
+    def advance_commit_index(self, index: int) -> None:
+        """Raises the commit index; entries up to `index` get applied."""
         if index <= self.commit_index:
             return
         self.commit_index = index
         metrics.COMMIT_INDEX.set(index)
-        self._commit_moved.set()
+        self._commit_advanced.set()
 
-    def install(self, snapshot: consensus_pb2.Snapshot) -> None:
-        """Replaces the state by a leader's snapshot, already in the log."""
+    def restore_snapshot(self, snapshot: consensus_pb2.Snapshot) -> None:
+        """Restores a leader's snapshot that the log has already stored."""
         self._state_machine.restore(snapshot.state)
         self.commit_index = snapshot.index
         self.applied_index = snapshot.index
         log_event("snapshot_installed", index=snapshot.index)
 
     @contextlib.asynccontextmanager
-    async def outcome_of(
+    async def pending_outcome(
         self, index: int, term: int
     ) -> AsyncIterator[asyncio.Future[Outcome]]:
-        """What becomes of an entry just appended, as a future."""
+        """Yields a future for the outcome of an entry just appended."""
         done: asyncio.Future[Outcome] = (
             asyncio.get_running_loop().create_future()
         )
@@ -70,24 +74,24 @@
         finally:
             self._waiters_by_index.pop(index, None)
 
-    def give_up_waiting(self) -> None:
-        """Tells all who wait that nothing is known of their entries."""
+    def resolve_as_undecided(self) -> None:
+        """Resolves all waiting proposals as undecided."""
         for _, done in self._waiters_by_index.values():
             if not done.done():
                 done.set_result(Undecided())
 
     async def run(self) -> None:
-        """Applies until cancelled."""
+        """Applies committed entries until cancelled."""
         while True:
-            await self._commit_moved.wait()
-            self._commit_moved.clear()
+            await self._commit_advanced.wait()
+            self._commit_advanced.clear()
             while self.applied_index < self.commit_index:
                 self._apply_next()
             self.changed.give()
             try:
-                self._compact_if_due()
+                self._compact_if_large()
             except OSError as error:
-                # The log stays as it is and is compacted another time.
+                # The log is left as it is; compaction is retried later.
                 log_event("snapshot_failed", reason=error)
 
     def _apply_next(self) -> None:
@@ -107,10 +111,12 @@
         else:
             done.set_result(Undecided())
 
-    def _compact_if_due(self) -> None:
-        due = self.applied_index - self._log.snapshot.index
+    def _compact_if_large(self) -> None:
+        new_entries = self.applied_index - self._log.snapshot.index
         large = self._log.size_bytes > self._options.snapshot_bytes
-        if due < self._options.snapshot_entries and not (large and due):
+        if new_entries < self._options.snapshot_entries and not (
+            large and new_entries
+        ):
             return
         index = self.applied_index
         snapshot = consensus_pb2.Snapshot(
--- a/damaskcroft/consensus/_errors.py
+++ b/damaskcroft/consensus/_errors.py
@@ -2,14 +2,15 @@
 
 
 class ConsensusError(Exception):
-    """Base of every error of this package."""
+    """Base class of the errors of this package."""
 
 
 class LogDamagedError(ConsensusError):
     """Synced content of the data folder is unreadable.
 
-    The replica must not start with it: it may have lost entries or a vote
-    that it answered for. Empty the folder, so that it rejoins as a learner.
+    The replica must not start with it, because it may have lost entries or a
+    vote that it has acknowledged. Empty the folder, so that the replica rejoins
+    as a learner.
 
     Attributes:
         name: the damaged file.
@@ -17,11 +18,11 @@
     """
 
     def __init__(self, name: str, offset_bytes: int):
-        """Names the file and the place of the damage."""
+        """Takes the damaged file's name and the offset of the damage."""
         super().__init__(f"{name} is damaged at byte {offset_bytes}")
         self.name = name
         self.offset_bytes = offset_bytes
 
 
 class NotFormattedError(ConsensusError):
-    """A data folder that already holds a replica was to be formatted."""
+    """Formatting was refused because the data folder holds a replica."""
--- a/damaskcroft/consensus/_frames.py
+++ b/damaskcroft/consensus/_frames.py
@@ -1,4 +1,4 @@
-"""Frames on disk: length, CRC-32, payload.
+"""Framing of records on disk: length, CRC-32, payload.
 
 The checksum is zlib's CRC-32 (ISO 3309), over the payload.
 """
@@ -12,13 +12,13 @@
 MAX_PAYLOAD_BYTES = 256 * 1024 * 1024
 
 
-def framed(payload: bytes) -> bytes:
-    """The payload with its header."""
+def encode_frame(payload: bytes) -> bytes:
+    """Returns the payload preceded by its header."""
     return _HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
-def frame_at(content: bytes, offset_bytes: int) -> bytes | None:
-    """The valid payload at an offset, or None."""
+def decode_frame(content: bytes, offset_bytes: int) -> bytes | None:
+    """Returns the payload of a valid frame at an offset, or None."""
     start = offset_bytes + HEADER_BYTES
     if start > len(content):
         return None
@@ -31,12 +31,12 @@
     return payload
 
 
-def frames_after(content: bytes, offset_bytes: int) -> Iterator[bytes]:
-    """Every valid payload that starts anywhere after an offset.
+def find_frames_after(content: bytes, offset_bytes: int) -> Iterator[bytes]:
+    """Yields the payload of every valid frame that starts after an offset.
 
-    Slow: only for judging a file that is already known to be faulty.
+    Tries each offset, which is slow; used only on files known to be damaged.
     """
     for offset in range(offset_bytes + 1, len(content) - HEADER_BYTES):
-        payload = frame_at(content, offset)
+        payload = decode_frame(content, offset)
         if payload is not None:
             yield payload
--- a/damaskcroft/consensus/_joining.py
+++ b/damaskcroft/consensus/_joining.py
@@ -1,4 +1,4 @@
-"""A replica that no leader counts asks to be taken in."""
+"""Join requests of a replica that no leader replicates to."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,23 +13,24 @@
 
 __all__ = ["Joiner"]
 
-# Silence of the leader, in election timeouts, after which a replica asks.
-_SILENT_TIMEOUTS = 2
+# A replica asks to join after this many election timeouts without a leader.
+_LEADER_SILENCE_TIMEOUTS = 2
 
 
 class Joiner:
-    """Asks the others to be made a learner while nobody counts this replica.
+    """Asks the other replicas to add this one as a learner while needed.
 
-    That is so with an empty disk, on a new machine, and after the others have
-    dropped it.
+    That is the case with an empty disk, on a new machine, and after the other
+    members have dropped the replica.
 
     Args:
-        options: of the replica.
-        transport: reaches the others.
-        log: names the members.
-        incarnation: of the replica's disk.
-        is_leader: whether the replica leads.
-        heard_at: loop time of the last word of a leader, or of the start.
+        options: options of the replica.
+        transport: sends the join requests.
+        log: holds the member list.
+        incarnation: incarnation of the replica's disk.
+        is_leader: returns whether the replica is the leader.
+        leader_heard_at: returns the loop time at which a leader was last
+            heard, or at which the replica started.
     """
 
     def __init__(
@@ -39,18 +40,18 @@
         log: DurableLog,
         incarnation: str,
         is_leader: Callable[[], bool],
-        heard_at: Callable[[], float],
+        leader_heard_at: Callable[[], float],
     ):
-        """See the class."""
+        """Keeps the arguments; `run` sends the requests."""
         self._options = options
         self._transport = transport
         self._log = log
         self._incarnation = incarnation
         self._is_leader = is_leader
-        self._heard_at = heard_at
+        self._leader_heard_at = leader_heard_at
 
     async def run(self) -> None:
-        """Asks once in an election timeout, as long as it is needed."""
+        """Sends a join request once per election timeout while needed."""
         member = consensus_pb2.Voter(
             id=self._options.id,
             address=self._options.address,
@@ -58,28 +59,33 @@
         )
         request = consensus_pb2.JoinRequest(member=member)
         while True:
-            if self._is_left_out() and not self._is_leader():
-                await self._ask(request)
+            if self._needs_to_join() and not self._is_leader():
+                await self._request_to_join(request)
             await asyncio.sleep(self._options.election_timeout_s)
 
-    def _is_left_out(self) -> bool:
+    def _needs_to_join(self) -> bool:
         member = find_member(self._log.config(), self._options.id)
         if member is None or member.incarnation != self._incarnation:
             return True
-        silence_s = now_s() - self._heard_at()
-        return silence_s > _SILENT_TIMEOUTS * self._options.election_timeout_s
+        silence_s = now_s() - self._leader_heard_at()
+        return (
+            silence_s
+            > _LEADER_SILENCE_TIMEOUTS * self._options.election_timeout_s
+        )
 
-    async def _ask(self, request: consensus_pb2.JoinRequest) -> None:
-        known = {m.address for m in self._log.config().members}
-        known.update(self._options.first_members.values())
-        leaders = await self._ask_all(request, known)
-        # The leader may have joined later than all that are known here.
-        await self._ask_all(request, leaders - known)
+    async def _request_to_join(
+        self, request: consensus_pb2.JoinRequest
+    ) -> None:
+        known_addresses = {m.address for m in self._log.config().members}
+        known_addresses.update(self._options.first_members.values())
+        leaders = await self._send_to_all(request, known_addresses)
+        # The leader may have joined later than all members known here.
+        await self._send_to_all(request, leaders - known_addresses)
 
-    async def _ask_all(
+    async def _send_to_all(
         self, request: consensus_pb2.JoinRequest, addresses: set[str]
     ) -> set[str]:
-        """Asks at each address; gives those of the leaders they tell of."""
+        """Sends the request to all; returns the leaders in the replies."""
         others = sorted(addresses - {self._options.address})
         replies = await asyncio.gather(
             *(self._transport.join(address, request) for address in others),
--- a/damaskcroft/consensus/_log.py
+++ b/damaskcroft/consensus/_log.py
@@ -1,8 +1,9 @@
 """The log of one replica on its disk.
 
-Entries are framed with a checksum and synced in groups. Each entry notes how
-far the log was synced when it was written: that tells a torn tail (never
-promised to anyone, so it is cut) from damage in the middle (an error).
+Entries are framed with a checksum and synced in groups. Each entry records how
+far the log was synced when the entry was written. With it, start-up tells a
+torn tail, which was never acknowledged and is truncated, from damage to synced
+entries, which is an error.
 """
 
 import sys
@@ -26,7 +27,7 @@
         "_disk",
         "_entries",
         "_has_torn_tail",
-        "_is_apart",
+        "_may_file_differ",
         "_offsets",
         "_size_bytes",
         "snapshot",
@@ -34,7 +35,7 @@
     )
 
     def __init__(self, disk: Disk):
-        """Reads what the disk holds.
+        """Reads snapshot and entries from the disk.
 
         Raises:
             LogDamagedError: synced content is unreadable.
@@ -42,21 +43,21 @@
         self._disk = disk
         self._entries: list[consensus_pb2.LogEntry] = []
         self._offsets: list[int] = []
-        # Asked for at every claim, so not to be looked for each time.
+        # Kept apart from the entries because it is read at every claim.
         self._configs: list[tuple[int, consensus_pb2.ClusterConfig]] = []
         self._size_bytes = 0
         self._has_torn_tail = False
-        # Whether the file may be another one than memory goes on from.
-        self._is_apart = False
+        # Whether the log file may differ from the entries in memory.
+        self._may_file_differ = False
         self.snapshot = _read_snapshot(disk)
         self._read_entries()
-        self._finish_reset()
-        # A process that was killed may have left the rest to the kernel only.
+        self._complete_reset()
+        # A process that was killed may have left them in the page cache only.
         self.synced_index = self.snapshot.index
 
     @property
     def first_index(self) -> int:
-        """Index of the oldest entry held, or the next one to come."""
+        """Index of the oldest entry held, or of the next one if none is."""
         if self._entries:
             return self._entries[0].index
         return self.snapshot.index + 1
@@ -77,11 +78,11 @@
 
     @property
     def size_bytes(self) -> int:
-        """Size of all entries held."""
+        """Size in bytes of all entries held, with their frames."""
         return self._size_bytes
 
     def term_at(self, index: int) -> int | None:
-        """The term of an entry; None when it isn't held."""
+        """The term of an entry, or None if the entry is not held."""
         if index == self.snapshot.index:
             return self.snapshot.term
         position = index - self.first_index
@@ -90,13 +91,13 @@
         return self._entries[position].term
 
     def entry(self, index: int) -> consensus_pb2.LogEntry:
-        """One held entry."""
+        """Returns the entry at an index; it must be held."""
         return self._entries[index - self.first_index]
 
     def entries_from(
         self, index: int, max_bytes: int
     ) -> list[consensus_pb2.LogEntry]:
-        """Entries from an index on: at least one if any, then up to a size."""
+        """Returns entries from an index on, up to a size but at least one."""
         batch: list[consensus_pb2.LogEntry] = []
         size_bytes = 0
         for entry in self._entries[index - self.first_index :]:
@@ -107,41 +108,41 @@
         return batch
 
     def config(self) -> consensus_pb2.ClusterConfig:
-        """The newest member list, committed or not."""
+        """The newest member list, whether committed or not."""
         return self.config_entry()[1]
 
     def config_entry(self) -> tuple[int, consensus_pb2.ClusterConfig]:
-        """The newest member list and the index that holds it."""
+        """The newest member list and the index of its entry."""
         if self._configs:
             return self._configs[-1]
         return self.snapshot.index, self.snapshot.config
 
     def config_at(self, index: int) -> consensus_pb2.ClusterConfig:
-        """The member list as of a held entry."""
-        found = self.snapshot.config
+        """The member list in effect at a held entry."""
+        config_then = self.snapshot.config
         for config_index, config in self._configs:
             if config_index <= index:
-                found = config
-        return found
+                config_then = config
+        return config_then
 
     def append(self, entries: list[consensus_pb2.LogEntry]) -> None:
-        """Adds entries; they last only after `sync`.
+        """Appends entries; they are durable only after `sync`.
 
         Raises:
-            OSError: the disk took only the entries that are held now.
+            OSError: the disk failed; only the entries held now were written.
         """
         for entry in entries:
             entry.synced_index = self.synced_index
-            frame = _frames.framed(entry.SerializeToString())
+            frame = _frames.encode_frame(entry.SerializeToString())
             self._append_frame(frame)
-            self._keep(entry, len(frame))
+            self._add_to_memory(entry, len(frame))
 
     def _append_frame(self, frame: bytes) -> None:
-        """Writes a frame whole, or leaves nothing of it behind.
+        """Writes a whole frame; a later call removes a frame that was torn.
 
-        A torn frame before later, synced ones would read as damage.
+        A torn frame followed by synced frames would be read as damage.
         """
-        self._rejoin()
+        self._rewrite_if_differing()
         if self._has_torn_tail:
             self._disk.truncate(LOG_NAME, self._size_bytes)
         self._has_torn_tail = True
@@ -149,19 +150,19 @@
         self._has_torn_tail = False
 
     async def sync(self) -> None:
-        """Makes every entry appended before this call last."""
+        """Makes every entry appended before this call durable."""
         index, term = self.last_index, self.last_term
         if index <= self.synced_index:
             return
-        self._rejoin()
+        self._rewrite_if_differing()
         await self._disk.sync(LOG_NAME)
-        # The tail may have been cut and rewritten while the disk worked.
+        # The tail may have been truncated and rewritten during the sync.
         if self.term_at(index) == term and index > self.synced_index:
             self.synced_index = index
 
     def truncate_from(self, index: int) -> None:
-        """Removes an entry and all after it, lastingly."""
-        self._rejoin()
+        """Removes an entry and all later ones; durable on return."""
+        self._rewrite_if_differing()
         position = index - self.first_index
         size_bytes = self._offsets[position]
         self._disk.truncate(LOG_NAME, size_bytes)
@@ -174,24 +175,27 @@
     def compact(
         self,
         snapshot: consensus_pb2.Snapshot,
-        keep: int,
-        keep_bytes: int = sys.maxsize,
+        max_kept_entries: int,
+        max_kept_bytes: int = sys.maxsize,
     ) -> None:
         """Stores a snapshot and drops entries that it covers.
 
         Args:
-            snapshot: the state up to a held, applied entry.
-            keep: how many covered entries stay, for followers just behind.
-            keep_bytes: how many bytes of covered entries stay at most.
+            snapshot: the state at an entry that is held and applied.
+            max_kept_entries: maximum number of covered entries that are kept,
+                so that followers slightly behind need no snapshot.
+            max_kept_bytes: maximum size of the covered entries that are kept.
         """
         first = max(
-            snapshot.index + 1 - keep,
-            self._first_within(snapshot.index, keep_bytes),
+            snapshot.index + 1 - max_kept_entries,
+            self._first_index_within(snapshot.index, max_kept_bytes),
+        )
+        self._replace_files(
+            snapshot, [e for e in self._entries if e.index >= first]
         )
-        self._store(snapshot, [e for e in self._entries if e.index >= first])
 
-    def _first_within(self, last_index: int, max_bytes: int) -> int:
-        """The first of the entries up to an index that fit into a size."""
+    def _first_index_within(self, last_index: int, max_bytes: int) -> int:
+        """Index from which the entries up to `last_index` fit into a size."""
         end_bytes = self._size_bytes
         after = last_index + 1 - self.first_index
         if after < len(self._offsets):
@@ -202,54 +206,60 @@
         return last_index + 1
 
     def reset_to(self, snapshot: consensus_pb2.Snapshot) -> None:
-        """Replaces everything by a leader's snapshot."""
+        """Replaces the log by a leader's snapshot.
+
+        Entries after it are kept only if the log holds its last entry.
+        """
         tail = []
         if self.term_at(snapshot.index) == snapshot.term:
             tail = [e for e in self._entries if e.index > snapshot.index]
-        self._store(snapshot, tail)
+        self._replace_files(snapshot, tail)
 
-    def _keep(self, entry: consensus_pb2.LogEntry, size_bytes: int) -> None:
-        """Takes an entry that is on the disk into memory."""
+    def _add_to_memory(
+        self, entry: consensus_pb2.LogEntry, size_bytes: int
+    ) -> None:
+        """Adds an entry that is on the disk to memory."""
         self._entries.append(entry)
         self._offsets.append(self._size_bytes)
         self._size_bytes += size_bytes
         if entry.HasField("config"):
             self._configs.append((entry.index, entry.config))
 
-    def _store(
+    def _replace_files(
         self,
         snapshot: consensus_pb2.Snapshot,
         entries: list[consensus_pb2.LogEntry],
     ) -> None:
-        """Swaps snapshot and entries, in an order that survives a crash.
+        """Replaces snapshot and entries in an order that survives a crash.
 
-        Memory follows only once the disk has taken both: a log that ends
-        before its snapshot has a gap that nothing may be appended to.
+        Memory is updated only after the disk has stored both. Otherwise the log
+        could end before its snapshot, and entries appended after that gap would
+        be unreadable.
         """
-        frames = _framed_entries(entries)
-        content = _frames.framed(snapshot.SerializeToString())
+        frames = _encode_entries(entries)
+        content = _frames.encode_frame(snapshot.SerializeToString())
         self._disk.replace(SNAPSHOT_NAME, content)
-        self._is_apart = True
+        self._may_file_differ = True
         self._disk.replace(LOG_NAME, b"".join(frames))
-        self._is_apart = self._has_torn_tail = False
+        self._may_file_differ = self._has_torn_tail = False
         self.snapshot = snapshot
-        self._forget_entries()
+        self._clear_memory()
         for entry, frame in zip(entries, frames, strict=True):
-            self._keep(entry, len(frame))
+            self._add_to_memory(entry, len(frame))
         self.synced_index = self.last_index
 
-    def _rejoin(self) -> None:
-        """Writes what memory holds, after a swap that may have failed midway.
+    def _rewrite_if_differing(self) -> None:
+        """Rewrites the log file after a replacement that may have failed.
 
-        A disk may take the new file and refuse to make its name last.
+        A disk may store the new file and then fail to sync its name.
         """
-        if not self._is_apart:
+        if not self._may_file_differ:
             return
-        frames = _framed_entries(self._entries)
+        frames = _encode_entries(self._entries)
         self._disk.replace(LOG_NAME, b"".join(frames))
-        self._is_apart = self._has_torn_tail = False
+        self._may_file_differ = self._has_torn_tail = False
 
-    def _forget_entries(self) -> None:
+    def _clear_memory(self) -> None:
         self._entries = []
         self._offsets = []
         self._configs = []
@@ -258,15 +268,20 @@
     def _read_entries(self) -> None:
         content = self._disk.read(LOG_NAME) or b""
         while self._size_bytes < len(content):
-            payload = _frames.frame_at(content, self._size_bytes)
-            entry = _parsed_entry(payload)
-            if entry is None or not self._follows(entry):
-                self._cut_torn_tail(content)
+            payload = _frames.decode_frame(content, self._size_bytes)
+            entry = _parse_entry(payload)
+            if entry is None or not self._is_next_entry(entry):
+                self._truncate_torn_tail(content)
                 return
-            self._keep(entry, _frames.HEADER_BYTES + len(payload or b""))
+            self._add_to_memory(
+                entry, _frames.HEADER_BYTES + len(payload or b"")
+            )
+
+    def _complete_reset(self) -> None:
+        """Completes a reset that was interrupted by the end of the process.
 
-    def _finish_reset(self) -> None:
-        """Drops a log that its snapshot was to replace as the process ended."""
+        Such a reset has stored its snapshot but not yet replaced the log.
+        """
         index, term = self.snapshot.index, self.snapshot.term
         if self.first_index > index:
             return
@@ -275,29 +290,35 @@
         if held and held[0].term == term:
             return
         self._disk.truncate(LOG_NAME, 0)
-        self._forget_entries()
+        self._clear_memory()
 
-    def _follows(self, entry: consensus_pb2.LogEntry) -> bool:
+    def _is_next_entry(self, entry: consensus_pb2.LogEntry) -> bool:
         if not self._entries:
             # Compaction may keep entries that the snapshot covers.
             return entry.index <= self.snapshot.index + 1
         return entry.index == self._entries[-1].index + 1
 
-    def _cut_torn_tail(self, content: bytes) -> None:
-        """Cuts what was never synced; refuses to lose what was."""
+    def _truncate_torn_tail(self, content: bytes) -> None:
+        """Truncates entries that were never synced.
+
+        Raises:
+            LogDamagedError: a later entry shows that lost ones were synced.
+        """
         lost_index = self.last_index + 1
-        for payload in _frames.frames_after(content, self._size_bytes):
-            later = _parsed_entry(payload)
+        for payload in _frames.find_frames_after(content, self._size_bytes):
+            later = _parse_entry(payload)
             if later is not None and later.synced_index >= lost_index:
                 raise LogDamagedError(LOG_NAME, self._size_bytes)
         self._disk.truncate(LOG_NAME, self._size_bytes)
 
 
-def _framed_entries(entries: list[consensus_pb2.LogEntry]) -> list[bytes]:
-    return [_frames.framed(entry.SerializeToString()) for entry in entries]
+def _encode_entries(entries: list[consensus_pb2.LogEntry]) -> list[bytes]:
+    return [
+        _frames.encode_frame(entry.SerializeToString()) for entry in entries
+    ]
 
 
-def _parsed_entry(payload: bytes | None) -> consensus_pb2.LogEntry | None:
+def _parse_entry(payload: bytes | None) -> consensus_pb2.LogEntry | None:
     if payload is None:
         return None
     try:
@@ -310,7 +331,7 @@
     content = disk.read(SNAPSHOT_NAME)
     if content is None:
         return consensus_pb2.Snapshot()
-    payload = _frames.frame_at(content, 0)
+    payload = _frames.decode_frame(content, 0)
     if payload is None:
         raise LogDamagedError(SNAPSHOT_NAME, 0)
     return consensus_pb2.Snapshot.FromString(payload)
--- a/damaskcroft/consensus/_members.py
+++ b/damaskcroft/consensus/_members.py
@@ -1,4 +1,4 @@
-"""Questions about a member list."""
+"""Functions over the cluster's member list."""
 
 from collections.abc import Callable
 
@@ -8,7 +8,7 @@
 def find_member(
     config: consensus_pb2.ClusterConfig, member_id: str
 ) -> consensus_pb2.Voter | None:
-    """The member with an id, or None."""
+    """Returns the member with an id, or None."""
     for member in config.members:
         if member.id == member_id:
             return member
@@ -16,14 +16,14 @@
 
 
 def voters(config: consensus_pb2.ClusterConfig) -> list[consensus_pb2.Voter]:
-    """Members whose answers count."""
+    """Returns the members that count for majorities: all but learners."""
     return [member for member in config.members if not member.learner]
 
 
 def is_voter(
     config: consensus_pb2.ClusterConfig, member_id: str, incarnation: str
 ) -> bool:
-    """Whether a disk's incarnation is the one that counts for its id."""
+    """Whether an incarnation is the one listed as a voter under an id."""
     member = find_member(config, member_id)
     if member is None or member.learner:
         return False
@@ -33,7 +33,7 @@
 def with_member(
     config: consensus_pb2.ClusterConfig, member: consensus_pb2.Voter
 ) -> consensus_pb2.ClusterConfig:
-    """The list with one member added or replaced."""
+    """Returns the list with one member added or replaced."""
     changed = consensus_pb2.ClusterConfig()
     changed.members.extend(m for m in config.members if m.id != member.id)
     changed.members.append(member)
@@ -43,7 +43,7 @@
 def without_member(
     config: consensus_pb2.ClusterConfig, member_id: str
 ) -> consensus_pb2.ClusterConfig:
-    """The list with one member removed."""
+    """Returns the list with one member removed."""
     changed = consensus_pb2.ClusterConfig()
     changed.members.extend(m for m in config.members if m.id != member_id)
     return changed
@@ -55,13 +55,13 @@
     own_value: float,
     value_of: Callable[[consensus_pb2.Voter], float],
 ) -> float:
-    """The greatest value that a majority of the voters has reached.
+    """Returns the greatest value that a majority of the voters has reached.
 
     Args:
         config: the member list.
-        own_id: the asking member, whose value is `own_value`.
-        own_value: the asking member's value.
-        value_of: the value of any other member.
+        own_id: id of this member.
+        own_value: value of this member.
+        value_of: returns the value of another member.
     """
     values = [
         own_value if voter.id == own_id else value_of(voter)
--- a/damaskcroft/consensus/_outcomes.py
+++ b/damaskcroft/consensus/_outcomes.py
@@ -1,4 +1,4 @@
-"""What became of a proposed command."""
+"""Outcomes of a proposed command."""
 
 import dataclasses
 from typing import Any
@@ -6,11 +6,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Committed:
-    """The command is on a majority's disks and was applied.
+    """The command was committed by a majority and applied.
 
     Attributes:
-        index: its place in the log.
-        result: what the state machine answered.
+        index: index of its entry in the log.
+        result: return value of the state machine.
     """
 
     index: int
@@ -19,10 +19,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotLeader:
-    """Nothing was appended; ask the leader.
+    """Nothing was appended because this replica is not the leader.
 
     Attributes:
-        leader_address: where it is, or empty while unknown.
+        leader_address: address of the leader, or empty while unknown.
     """
 
     leader_address: str
@@ -30,12 +30,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Undecided:
-    """Appended, but not known to be committed; it may still become so."""
+    """The entry was appended and may or may not become committed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DiskFailed:
-    """Nothing was appended, since this replica's disk takes nothing now."""
+    """Nothing was appended because the disk of this replica failed."""
 
     reason: str
 
--- a/damaskcroft/consensus/_replica.py
+++ b/damaskcroft/consensus/_replica.py
@@ -1,7 +1,8 @@
-"""One replica of the log: election, replication, commitment, repair.
+"""One replica of the log: election, replication, commitment, membership.
 
-Straight-line tasks: one waits for elections, one for each peer replicates,
-one syncs the leader's own log, one applies what is committed.
+A replica consists of concurrent tasks: one runs elections, one per peer
+replicates entries, one syncs the leader's own log and one applies committed
+entries.
 """
 
 import asyncio
@@ -17,9 +18,9 @@
 from damaskcroft.clock import now_s
 from damaskcroft.consensus._applier import Applier
 from damaskcroft.consensus._disk import Disk
-from damaskcroft.consensus._handover import Handover
 from damaskcroft.consensus._hard_state import HardStateFile
 from damaskcroft.consensus._joining import Joiner
+from damaskcroft.consensus._leadership_transfer import LeadershipTransfer
 from damaskcroft.consensus._log import DurableLog
 from damaskcroft.consensus._members import (
     find_member,
@@ -44,24 +45,26 @@
     RequestHandler,
     Transport,
 )
-from damaskcroft.consensus._votes import VoteRefusal, majority_agrees
+from damaskcroft.consensus._votes import VoteRefusal, wait_for_majority
 from damaskcroft.observe import log_event, metrics
 from damaskcroft.tasks import Work, end_all, kept_up
 
-# Fits through a link of 10 Mbit/s in a tenth of the shortest election timeout
-# in use, so that a follower that catches up still hears its leader in time.
+# Passes a 10 Mbit/s link within a tenth of the shortest election timeout in
+# use, so that a follower that catches up still receives heartbeats in time.
 _BATCH_BYTES = 64 * 1024
-# A learner may have much to receive before its first answer.
-_LEARNER_PATIENCE = 4
-# How often a leader checks that a majority follows, in an election timeout.
-_LOOKS_A_TIMEOUT = 4
-# A leader whom no majority has answered for this many election timeouts steps
-# down: the longest time after which those who hear nothing stand.
-_CUT_OFF_TIMEOUTS = 2
-# A member that has not answered for this many election timeouts is silent.
-_SILENT_TIMEOUTS = 4
-# After its disk failed, a replica stands for no election for this many
-# election timeouts, so that one with a sound disk is elected first.
+# Multiplies the time after which a silent learner is dropped, because it may
+# have to receive a large snapshot before its first reply.
+_LEARNER_SILENCE_FACTOR = 4
+# Number of checks per election timeout that a majority follows the leader.
+_MAJORITY_CHECKS_PER_TIMEOUT = 4
+# A leader without replies of a majority steps down after this many election
+# timeouts, the longest time after which followers without a leader start an
+# election.
+_STEP_DOWN_TIMEOUTS = 2
+# A member counts as silent after this many election timeouts without a reply.
+_MEMBER_SILENCE_TIMEOUTS = 4
+# After a disk failure, a replica starts no election for this many election
+# timeouts, so that a replica with a working disk is elected first.
 _DISK_PAUSE_TIMEOUTS = 4
 _FOLLOWER, _CANDIDATE, _LEADER = "following", "standing", "leading"
 
@@ -69,7 +72,7 @@
 class Replica(RequestHandler):
     """One member of the replicated log."""
 
-    # Set by the lifecycle machine below.
+    # Set by the state machine below.
     state: str
     stand: Callable[[], bool]
     win: Callable[[], bool]
@@ -83,7 +86,7 @@
         state_machine: StateMachine,
         rng: random.Random | None = None,
     ):
-        """Reads the disk; `start` begins to take part.
+        """Reads the disk; `start` begins participation.
 
         Raises:
             LogDamagedError: the disk's synced content is unreadable.
@@ -94,21 +97,23 @@
         self._state_machine = state_machine
         self._rng = rng or random.Random()
         self.log = DurableLog(disk)
-        self._hard = HardStateFile(disk, self.log)
+        self._hard_state = HardStateFile(disk, self.log)
         self._applier = Applier(self.log, state_machine, options)
         self.leader_id = ""
         self._peers = Peers(options.id)
         self._lock = asyncio.Lock()
         self._changed = self._applier.changed
-        self._handover = Handover(options, self, transport, self._changed)
-        self._replicate = asyncio.Event()
-        self._append_local = asyncio.Event()
+        self._leadership_transfer = LeadershipTransfer(
+            options, self, transport, self._changed
+        )
+        self._replication_requested = asyncio.Event()
+        self._local_sync_requested = asyncio.Event()
         self._tasks: set[asyncio.Task] = set()
         self._leader_tasks: set[asyncio.Task] = set()
-        self._heard_at = 0.0
+        self._leader_heard_at = 0.0
         self._started_at = 0.0
         self.has_stopped = False
-        self._ends_soon = False
+        self._is_shutting_down = False
         self._term_start_index = 0
         self._disk_failed_at = float("-inf")
         self._machine = Machine(
@@ -123,79 +128,79 @@
             ],
         )
 
-    # --- What the rest of the process sees -------------------------------
+    # --- Interface to the rest of the process ----------------------------
 
     @property
     def term(self) -> int:
         """The current term."""
-        return self._hard.term
+        return self._hard_state.term
 
     @property
     def incarnation(self) -> str:
         """This disk's incarnation."""
-        return self._hard.incarnation
+        return self._hard_state.incarnation
 
     @property
     def commit_index(self) -> int:
-        """The newest entry known to be committed."""
+        """Index of the newest entry known to be committed."""
         return self._applier.commit_index
 
     @property
     def applied_index(self) -> int:
-        """The newest entry that the state holds."""
+        """Index of the newest entry applied to the state machine."""
         return self._applier.applied_index
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads its term."""
+        """Whether this replica is the leader of its term."""
         return self.state == _LEADER
 
     @property
     def peers(self) -> Peers:
-        """What this replica, while it leads, knows of the others."""
+        """Replication state of the other members while this replica leads."""
         return self._peers
 
     @property
     def leader_address(self) -> str:
-        """Where the leader is, or empty while unknown."""
+        """Address of the leader, or empty while unknown."""
         member = find_member(self.log.config(), self.leader_id)
         return member.address if member else ""
 
     @property
     def silent_s(self) -> float:
-        """For how long no leader has been heard; 0 for a leader."""
+        """Time since a leader was last heard; 0 on the leader itself."""
         if self.is_leader:
             return 0.0
-        return now_s() - max(self._heard_at, self._started_at)
+        return now_s() - max(self._leader_heard_at, self._started_at)
 
     @property
     def address(self) -> str:
-        """Where this replica serves the others."""
+        """Address at which this replica serves the others."""
         return self._options.address
 
     def member_addresses(self) -> list[str]:
-        """Addresses of all voting members."""
+        """Returns the addresses of all voters."""
         return [member.address for member in voters(self.log.config())]
 
     @property
     def is_confirmed_leader(self) -> bool:
-        """Whether a majority has followed within an election timeout.
+        """Whether a majority has replied within an election timeout.
 
         While true, no other leader can have been elected (dissertation,
-        6.4.1): followers give no vote within that time of hearing us, but to
-        one that we told to stand.
+        6.4.1): followers refuse their vote for that time after hearing from
+        the leader, except to a voter that the leader sent TimeoutNow.
         """
         if not self.is_leader or self.commit_index < self._term_start_index:
             return False
-        if not self._handover.has_lease():
+        if not self._leadership_transfer.has_lease():
             return False
         age_s = now_s() - self._peers.majority_confirmed_at(self.log.config())
         return age_s < self._options.election_timeout_s
 
     async def start(self) -> None:
-        """Begins to take part."""
-        # A restarted voter may have heard a leader just before it stopped.
-        self._heard_at = now_s()
+        """Starts the tasks of the replica."""
+        # A restarted voter may have followed a leader until just before.
+        self._leader_heard_at = now_s()
         self._started_at = now_s()
         self._spawn(self._elect_forever)
         self._spawn(self._applier.run)
@@ -204,32 +209,33 @@
     async def hand_over(
         self, within_s: float, *, for_good: bool = False
     ) -> bool:
-        """Gives the leadership to another voter; goes on as its follower.
+        """Transfers the leadership and continues as a follower.
 
-        What was proposed before is committed first. What is proposed
-        meanwhile waits, and is then appended here or refused as not taken.
+        Commands proposed earlier are committed first. Commands proposed during
+        the transfer wait until it ends; then they are appended here, or refused
+        with `NotLeader`.
 
         Args:
-            within_s: longest time; if nobody has taken over by then, this
-                replica goes on as it is.
-            for_good: whether this replica ends soon, so that no other one
-                hands its leadership over to it.
+            within_s: maximum duration; if no other replica is the leader by
+                then, this one continues in its role.
+            for_good: whether this replica shuts down soon, so that it accepts
+                no leadership from another one.
 
         Returns:
-            Whether another replica leads.
+            Whether another replica is the leader.
         """
-        self._ends_soon = self._ends_soon or for_good
-        return await self._handover.run(within_s)
+        self._is_shutting_down = self._is_shutting_down or for_good
+        return await self._leadership_transfer.run(within_s)
 
     async def stop(self) -> None:
-        """Ends all tasks; it neither leads nor stands from now on."""
+        """Ends all tasks; the replica takes no part in elections afterwards."""
         self.has_stopped = True
         await end_all(self._tasks | self._leader_tasks)
-        self._applier.give_up_waiting()
+        self._applier.resolve_as_undecided()
 
     async def propose(self, command: bytes) -> Outcome:
         """Appends a command and waits until it is committed and applied."""
-        await self._handover.until_none()
+        await self._leadership_transfer.wait_until_finished()
         if not self.is_leader:
             return NotLeader(self.leader_address)
         try:
@@ -237,20 +243,22 @@
                 consensus_pb2.LogEntry(command=command)
             )
         except OSError as error:
-            self._note_disk_failure(error)
+            self._handle_disk_failure(error)
             return DiskFailed(str(error))
 
     async def confirm_leader(self, timeout_s: float) -> bool:
-        """Waits until a majority confirms the leader after this call.
+        """Waits until a majority replies to messages sent after this call.
 
         Returns:
-            Whether reads of the applied state are now linearizable.
+            Whether reads of the applied state are linearizable now.
         """
-        asked_at = now_s()
-        self._replicate.set()
+        requested_at = now_s()
+        self._replication_requested.set()
         try:
             async with asyncio.timeout(timeout_s):
-                while self.is_leader and not self._confirms(asked_at):
+                while self.is_leader and not self._is_confirmed_since(
+                    requested_at
+                ):
                     await self._changed.next()
         except TimeoutError:
             return False
@@ -261,7 +269,7 @@
     async def handle_vote(
         self, request: consensus_pb2.VoteRequest
     ) -> consensus_pb2.VoteReply:
-        """See RequestHandler."""
+        """Votes by log, term and the silence of the present leader."""
         async with self._lock:
             refusal = self._vote_refusal(request)
             granted = refusal is None
@@ -274,9 +282,9 @@
                     reason=refusal.value,
                 )
             if granted and not request.pre_vote:
-                self._hard.save(request.term, request.candidate)
+                self._hard_state.save(request.term, request.candidate)
                 self._become_follower("")
-                self._heard_at = now_s()
+                self._leader_heard_at = now_s()
             return consensus_pb2.VoteReply(
                 term=self.term,
                 granted=granted,
@@ -287,44 +295,44 @@
     async def handle_append(
         self, request: consensus_pb2.AppendRequest
     ) -> consensus_pb2.AppendReply:
-        """See RequestHandler."""
+        """Stores the entries if the log matches up to the previous one."""
         async with self._lock:
             if request.term < self.term:
                 return self._append_reply(False, 0)
-            self._hear_leader(request.term, request.leader)
-            if not self._holds_previous(request):
+            self._accept_leader(request.term, request.leader)
+            if not self._matches_previous_entry(request):
                 return self._append_reply(False, self._probe_index(request))
-            self._take_entries(request)
+            self._store_entries(request)
             await self.log.sync()
             match = request.previous_index + len(request.entries)
-            self._applier.commit_up_to(min(request.commit_index, match))
+            self._applier.advance_commit_index(min(request.commit_index, match))
             return self._append_reply(True, match)
 
     async def handle_install(
         self, request: consensus_pb2.InstallRequest
     ) -> consensus_pb2.AppendReply:
-        """See RequestHandler."""
+        """Installs the snapshot if it is ahead of the commit index."""
         async with self._lock:
             if request.term < self.term:
                 return self._append_reply(False, 0)
-            self._hear_leader(request.term, request.leader)
+            self._accept_leader(request.term, request.leader)
             snapshot = request.snapshot
             if snapshot.index > self.commit_index:
                 self.log.reset_to(snapshot)
-                self._applier.install(snapshot)
+                self._applier.restore_snapshot(snapshot)
             return self._append_reply(True, snapshot.index)
 
     async def handle_join(
         self, request: consensus_pb2.JoinRequest
     ) -> consensus_pb2.JoinReply:
-        """See RequestHandler."""
+        """Adds the member if this replica leads and no change is pending."""
         if not self.is_confirmed_leader or self._config_change_pending():
             return consensus_pb2.JoinReply(leader=self.leader_address)
         member = consensus_pb2.Voter()
         member.CopyFrom(request.member)
         member.learner = True
-        known = find_member(self.log.config(), member.id)
-        if known and known.incarnation == member.incarnation:
+        existing = find_member(self.log.config(), member.id)
+        if existing and existing.incarnation == member.incarnation:
             return consensus_pb2.JoinReply(accepted=True)
         log_event("learner_joins", id=member.id, incarnation=member.incarnation)
         outcome = await self._change_member(member)
@@ -334,20 +342,21 @@
     async def handle_timeout_now(
         self, request: consensus_pb2.TimeoutNowRequest
     ) -> consensus_pb2.TimeoutNowReply:
-        """See RequestHandler."""
+        """Starts an election if the request comes from the known leader."""
         async with self._lock:
             stands = (
                 request.term == self.term
                 and request.leader == self.leader_id
                 and self.state == _FOLLOWER
                 and self._is_voter()
-                and not self._disk_fails()
-                # It may still be asked for as long as its process serves.
-                and not (self._ends_soon or self.has_stopped)
+                and not self._has_recent_disk_failure()
+                # A replica that shuts down may still receive requests as long
+                # as its process serves them.
+                and not (self._is_shutting_down or self.has_stopped)
             )
             log_event("told_to_stand", by=request.leader, stands=stands)
             if stands:
-                self._spawn_once(self._stand_as_told(request.term))
+                self._spawn_once(self._run_transfer_election(request.term))
             return consensus_pb2.TimeoutNowReply(term=self.term, stands=stands)
 
     # --- Elections ---------------------------------------------------------
@@ -356,89 +365,99 @@
         timeout_s = self._options.election_timeout_s
         while True:
             if self.is_leader:
-                await asyncio.sleep(timeout_s / _LOOKS_A_TIMEOUT)
-                await self._step_down_if_cut_off()
-                self._drop_silent_member()
+                await asyncio.sleep(timeout_s / _MAJORITY_CHECKS_PER_TIMEOUT)
+                await self._step_down_without_majority()
+                self._remove_silent_member()
                 continue
             await self._wait_for_silence(timeout_s * (1 + self._rng.random()))
-            if self.is_leader or not self._is_voter() or self._disk_fails():
+            if (
+                self.is_leader
+                or not self._is_voter()
+                or self._has_recent_disk_failure()
+            ):
                 continue
             try:
-                await self._stand_for_election()
+                await self._run_election()
             except OSError as error:
-                self._note_disk_failure(error)
+                self._handle_disk_failure(error)
 
     async def _wait_for_silence(self, silence_s: float) -> None:
-        """Returns once no leader has been heard for `silence_s`."""
+        """Waits until no leader has been heard for `silence_s`."""
         started_at = now_s()
         while True:
-            quiet_since = max(self._heard_at, started_at)
-            remaining_s = quiet_since + silence_s - now_s()
+            silent_since = max(self._leader_heard_at, started_at)
+            remaining_s = silent_since + silence_s - now_s()
             if remaining_s <= 0:
                 return
             await asyncio.sleep(remaining_s)
 
-    async def _step_down_if_cut_off(self) -> None:
+    async def _step_down_without_majority(self) -> None:
         confirmed_at = self._peers.majority_confirmed_at(self.log.config())
-        # Who has just been elected has had no time to be confirmed.
-        age_s = now_s() - max(confirmed_at, self._peers.since)
-        if age_s < _CUT_OFF_TIMEOUTS * self._options.election_timeout_s:
+        # A leader that was just elected had no time to get replies.
+        age_s = now_s() - max(confirmed_at, self._peers.leading_since)
+        if age_s < _STEP_DOWN_TIMEOUTS * self._options.election_timeout_s:
             return
         async with self._lock:
             log_event("leader_cut_off", term=self.term, silent_s=age_s)
             metrics.ELECTIONS.labels("stepped_down").inc()
             self._become_follower("")
 
-    async def _stand_for_election(self) -> None:
-        if not await self._poll(pre_vote=True):
-            self._note_election("no_pre_vote")
+    async def _run_election(self) -> None:
+        if not await self._request_votes(pre_vote=True):
+            self._record_failed_election("no_pre_vote")
             return
         async with self._lock:
             if self.is_leader or not self._is_voter():
                 return
-            term = self._stand_in_next_term()
-        await self._ask_for_term(term, told=False)
+            term = self._become_candidate()
+        await self._campaign(term, is_leadership_transfer=False)
 
-    async def _stand_as_told(self, told_in_term: int) -> None:
-        """Stands without asking first whether anybody hears the leader."""
+    async def _run_transfer_election(self, leader_term: int) -> None:
+        """Starts an election without a pre-vote, at the leader's request."""
         try:
             async with self._lock:
-                if self.term != told_in_term or self.state != _FOLLOWER:
+                if self.term != leader_term or self.state != _FOLLOWER:
                     return
-                term = self._stand_in_next_term()
-            await self._ask_for_term(term, told=True)
+                term = self._become_candidate()
+            await self._campaign(term, is_leadership_transfer=True)
         except OSError as error:
-            self._note_disk_failure(error)
+            self._handle_disk_failure(error)
 
-    def _stand_in_next_term(self) -> int:
-        self._hard.save(self.term + 1, self._options.id)
+    def _become_candidate(self) -> int:
+        self._hard_state.save(self.term + 1, self._options.id)
         self.leader_id = ""
         self.stand()
         return self.term
 
-    async def _ask_for_term(self, term: int, *, told: bool) -> None:
-        won = await self._poll(pre_vote=False, told=told)
+    async def _campaign(
+        self, term: int, *, is_leadership_transfer: bool
+    ) -> None:
+        won = await self._request_votes(
+            pre_vote=False, is_leadership_transfer=is_leadership_transfer
+        )
         async with self._lock:
             if self.term != term or self.state != _CANDIDATE:
                 return
             if not won:
-                self._note_election("lost")
+                self._record_failed_election("lost")
                 self._become_follower("")
                 return
             self._become_leader()
 
-    def _note_election(self, outcome: str) -> None:
+    def _record_failed_election(self, outcome: str) -> None:
         metrics.ELECTIONS.labels(outcome).inc()
         log_event(
             "election_not_won",
             reason=outcome,
             term=self.term,
             last=self.log.last_index,
-            silent_s=now_s() - self._heard_at,
+            silent_s=now_s() - self._leader_heard_at,
         )
 
-    async def _poll(self, *, pre_vote: bool, told: bool = False) -> bool:
-        """Asks all voters at once; whether a majority agrees."""
+    async def _request_votes(
+        self, *, pre_vote: bool, is_leadership_transfer: bool = False
+    ) -> bool:
+        """Requests all votes at once; returns whether a majority agrees."""
         request = consensus_pb2.VoteRequest(
             term=self.term + 1 if pre_vote else self.term,
             candidate=self._options.id,
@@ -446,23 +465,23 @@
             last_index=self.log.last_index,
             last_term=self.log.last_term,
             pre_vote=pre_vote,
-            leadership_transfer=told,
+            leadership_transfer=is_leadership_transfer,
         )
         electorate = voters(self.log.config())
         others = [v for v in electorate if v.id != self._options.id]
-        asked = [
-            asyncio.create_task(self._ask_vote(voter, request))
+        vote_tasks = [
+            asyncio.create_task(self._request_vote(voter, request))
             for voter in others
         ]
         try:
-            return await majority_agrees(
-                asked, len(electorate), self._options.election_timeout_s
+            return await wait_for_majority(
+                vote_tasks, len(electorate), self._options.election_timeout_s
             )
         finally:
-            for task in asked:
+            for task in vote_tasks:
                 task.cancel()
 
-    async def _ask_vote(
+    async def _request_vote(
         self, voter: consensus_pb2.Voter, request: consensus_pb2.VoteRequest
     ) -> bool:
         try:
@@ -470,48 +489,51 @@
         except PeerUnreachableError:
             return False
         if reply.term > self.term:
-            # Also after a pre-vote: a voter may have moved on without us, and
-            # only a candidate of a later term than its own can win it over.
+            # The term is adopted after a pre-vote as well: a voter may be in a
+            # later term, and votes only for a candidate of a term after it.
             async with self._lock:
-                self._meet_term(reply.term)
+                self._adopt_newer_term(reply.term)
             return False
         return reply.granted and reply.incarnation == voter.incarnation
 
     def _vote_refusal(
         self, request: consensus_pb2.VoteRequest
     ) -> VoteRefusal | None:
-        """Why a vote is not granted; None if it is.
+        """Returns why a vote is refused, or None if it is granted.
 
-        Whether it counts is for the candidate to say, by its member list and
-        our incarnation: our list may lack the entry that made a voter of
-        either of the two disks. A disk that none makes one stands for nothing.
+        Whether the vote counts is decided by the candidate, by its member list
+        and this replica's incarnation. This replica's list may lack the entry
+        that made either of the two disks a voter. A disk that is a voter in no
+        list starts no election.
         """
-        # Who leads the term before gave up its lease first.
-        told = request.leadership_transfer and request.term > self.term
-        refusal = None if told else self._refusal_for_leader()
+        # The previous leader gave up its lease before it sent TimeoutNow.
+        is_leadership_transfer = (
+            request.leadership_transfer and request.term > self.term
+        )
+        refusal = None if is_leadership_transfer else self._leader_refusal()
         if refusal is not None:
             return refusal
-        ours = (self.log.last_term, self.log.last_index)
-        if (request.last_term, request.last_index) < ours:
+        own_position = (self.log.last_term, self.log.last_index)
+        if (request.last_term, request.last_index) < own_position:
             return VoteRefusal.LOG_BEHIND
         if request.term > self.term:
             return None
         if request.pre_vote or request.term < self.term:
             return VoteRefusal.OLD_TERM
-        if self._hard.voted_for in ("", request.candidate):
+        if self._hard_state.voted_for in ("", request.candidate):
             return None
         return VoteRefusal.VOTED_FOR_OTHER
 
-    def _refusal_for_leader(self) -> VoteRefusal | None:
-        """Why nobody may stand against the leader that there may be."""
+    def _leader_refusal(self) -> VoteRefusal | None:
+        """Returns why no candidate may replace the present leader, if one."""
         if self.state == _LEADER:
             return VoteRefusal.LEADS
-        # Keep to a living leader, whoever else stands (dissertation, 4.2.3).
-        silence_s = now_s() - self._heard_at
+        # Granting it would depose a leader that is alive (dissertation, 4.2.3).
+        silence_s = now_s() - self._leader_heard_at
         timeout_s = self._options.election_timeout_s
         if self.leader_id and silence_s < timeout_s:
             return VoteRefusal.HEARS_LEADER
-        # Before a restart we may have told a leader that we follow it.
+        # Before a restart, this replica may have acknowledged a leader.
         if now_s() - self._started_at < timeout_s:
             return VoteRefusal.JUST_STARTED
         return None
@@ -525,7 +547,7 @@
         self._term_start_index = self.log.last_index + 1
         self._append(consensus_pb2.LogEntry())
         self._spawn_leader(self._sync_forever)
-        self._start_peers()
+        self._start_replication()
 
     def _become_follower(self, leader_id: str) -> None:
         was_leader = self.is_leader
@@ -537,24 +559,26 @@
         for task in self._leader_tasks:
             task.cancel()
         self._leader_tasks.clear()
-        self._applier.give_up_waiting()
+        self._applier.resolve_as_undecided()
 
-    def _hear_leader(self, term: int, leader_id: str) -> None:
+    def _accept_leader(self, term: int, leader_id: str) -> None:
         if term > self.term:
-            self._hard.save(term, "")
+            self._hard_state.save(term, "")
         if self.state != _FOLLOWER or self.leader_id != leader_id:
             self._become_follower(leader_id)
-        self._heard_at = now_s()
+        self._leader_heard_at = now_s()
 
-    def _meet_term(self, term: int) -> None:
+    def _adopt_newer_term(self, term: int) -> None:
         if term <= self.term:
             return
-        self._hard.save(term, "")
+        self._hard_state.save(term, "")
         self._become_follower("")
 
     # --- Following ---------------------------------------------------------
 
-    def _holds_previous(self, request: consensus_pb2.AppendRequest) -> bool:
+    def _matches_previous_entry(
+        self, request: consensus_pb2.AppendRequest
+    ) -> bool:
         if request.previous_index < self.log.snapshot.index:
             # Covered by the snapshot, and so committed and equal.
             return True
@@ -562,11 +586,11 @@
         return term == request.previous_term
 
     def _probe_index(self, request: consensus_pb2.AppendRequest) -> int:
-        """Where the leader should look for the common prefix next."""
+        """Index at which the leader probes next for the common prefix."""
         before = request.previous_index - 1
         return max(self.commit_index, min(self.log.last_index, before))
 
-    def _take_entries(self, request: consensus_pb2.AppendRequest) -> None:
+    def _store_entries(self, request: consensus_pb2.AppendRequest) -> None:
         for position, entry in enumerate(request.entries):
             if entry.index <= self.log.snapshot.index:
                 continue
@@ -594,30 +618,30 @@
         entry.index = self.log.last_index + 1
         entry.term = self.term
         self.log.append([entry])
-        self._append_local.set()
-        self._replicate.set()
+        self._local_sync_requested.set()
+        self._replication_requested.set()
         return entry.index
 
     async def _append_and_wait(self, entry: consensus_pb2.LogEntry) -> Outcome:
-        return await self._outcome_of(self._append(entry))
+        return await self._wait_for_outcome(self._append(entry))
 
-    async def _outcome_of(self, index: int) -> Outcome:
-        async with self._applier.outcome_of(index, self.term) as outcome:
+    async def _wait_for_outcome(self, index: int) -> Outcome:
+        async with self._applier.pending_outcome(index, self.term) as outcome:
             return await outcome
 
     async def _sync_forever(self) -> None:
-        """Group commit: one sync covers all that came in the meantime."""
+        """Group commit: one sync covers all entries appended meanwhile."""
         while True:
-            await self._append_local.wait()
-            self._append_local.clear()
+            await self._local_sync_requested.wait()
+            self._local_sync_requested.clear()
             try:
                 await self.log.sync()
             except OSError as error:
-                self._note_disk_failure(error)
+                self._handle_disk_failure(error)
                 return
             await self._advance_commit()
 
-    def _start_peers(self) -> None:
+    def _start_replication(self) -> None:
         for member in self.log.config().members:
             if member.id == self._options.id or member.id in self._peers.by_id:
                 continue
@@ -632,10 +656,11 @@
     async def _replicate_while_leading(
         self, member_id: str, peer: Peer, term: int
     ) -> None:
-        """Brings a member up to date for as long as this replica leads a term.
+        """Replicates to a member for as long as this replica leads a term.
 
-        The task is also cancelled when that is over, but a cancellation alone
-        must not be what keeps a former leader from speaking as the leader.
+        The task is also cancelled on stepping down. The term is checked as well
+        because a cancellation can get lost, and a former leader must not send
+        messages as the leader.
         """
         while self.is_leader and self.term == term:
             member = find_member(self.log.config(), member_id)
@@ -651,13 +676,13 @@
                 continue
             if sent_up_to < self.log.last_index:
                 continue
-            await self._wait_for_work()
+            await self._wait_for_replication_request()
 
-    async def _wait_for_work(self) -> None:
-        self._replicate.clear()
+    async def _wait_for_replication_request(self) -> None:
+        self._replication_requested.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._options.heartbeat_s):
-                await self._replicate.wait()
+                await self._replication_requested.wait()
 
     async def _replicate_once(
         self, member: consensus_pb2.Voter, peer: Peer, term: int
@@ -682,9 +707,9 @@
                 commit_index=self.commit_index,
             )
             reply = await self._transport.append(member.address, append)
-        await self._take_append_reply(peer, reply, term, sent_at)
+        await self._handle_append_reply(peer, reply, term, sent_at)
 
-    async def _take_append_reply(
+    async def _handle_append_reply(
         self,
         peer: Peer,
         reply: consensus_pb2.AppendReply,
@@ -693,12 +718,12 @@
     ) -> None:
         if reply.term > self.term:
             async with self._lock:
-                self._meet_term(reply.term)
+                self._adopt_newer_term(reply.term)
             return
         if not self.is_leader or self.term != term:
             return
         if peer.incarnation != reply.incarnation:
-            # Another disk under the same id: it holds nothing until it says.
+            # Another disk under the id holds only what it acknowledges.
             peer.incarnation = reply.incarnation
             peer.match_index = 0
         peer.confirmed_at = max(peer.confirmed_at, sent_at)
@@ -713,56 +738,59 @@
     async def _advance_commit(self) -> None:
         if not self.is_leader:
             return
-        index = self._peers.majority_match(
+        index = self._peers.majority_match_index(
             self.log.config(), self.log.synced_index
         )
-        # Only entries of the own term are counted (Raft, 5.4.2).
+        # Only entries of the current term are counted (Raft, 5.4.2).
         if self.log.term_at(index) != self.term:
             return
         if index > self.commit_index:
-            self._applier.commit_up_to(index)
-            # Followers hear of it at once, not with the next heartbeat.
-            self._replicate.set()
+            self._applier.advance_commit_index(index)
+            # Followers get the commit index at once, not with a heartbeat.
+            self._replication_requested.set()
         self._promote_learners()
 
-    def _confirms(self, asked_at: float) -> bool:
+    def _is_confirmed_since(self, requested_at: float) -> bool:
         if self.commit_index < self._term_start_index:
             return False
         if self.applied_index < self.commit_index:
             return False
-        return self._peers.majority_confirmed_at(self.log.config()) >= asked_at
+        return (
+            self._peers.majority_confirmed_at(self.log.config()) >= requested_at
+        )
 
     # --- Members -----------------------------------------------------------
 
     def _is_voter(self) -> bool:
         return is_voter(
-            self.log.config(), self._options.id, self._hard.incarnation
+            self.log.config(), self._options.id, self._hard_state.incarnation
         )
 
     def _config_change_pending(self) -> bool:
-        if self._handover.is_under_way:
+        if self._leadership_transfer.is_in_progress:
             return True
         return self.log.config_entry()[0] > self.commit_index
 
     async def _change_member(self, member: consensus_pb2.Voter) -> Outcome:
         config = with_member(self.log.config(), member)
         try:
-            # Without a wait, or another change could begin from the same list.
+            # Appended without an await after the list was read, so that no
+            # other change starts from the same list.
             index = self._append(consensus_pb2.LogEntry(config=config))
         except OSError as error:
-            self._note_disk_failure(error)
+            self._handle_disk_failure(error)
             return DiskFailed(str(error))
-        self._start_peers()
-        return await self._outcome_of(index)
+        self._start_replication()
+        return await self._wait_for_outcome(index)
 
     def _promote_learners(self) -> None:
-        """Makes a learner a voter once it holds all that is committed."""
+        """Promotes a learner to voter once it holds all committed entries."""
         if self._config_change_pending():
             return
         for member in self.log.config().members:
             if not member.learner:
                 continue
-            if self._peers.match(member) < self.commit_index:
+            if self._peers.match_index_of(member) < self.commit_index:
                 continue
             promoted = consensus_pb2.Voter()
             promoted.CopyFrom(member)
@@ -771,28 +799,30 @@
             self._append_config(with_member(self.log.config(), promoted))
             return
 
-    def _drop_silent_member(self) -> None:
-        """Removes a member that was replaced by another.
+    def _remove_silent_member(self) -> None:
+        """Removes a silent learner, or a silent voter of an even number.
 
-        An even number of voters bears no more losses than one fewer would.
-        So when one of them is silent, it is dropped; it asks to be taken
-        back should it return. An odd number is kept: with fewer disks an
-        accepted write would be on fewer of them.
+        An even number of voters tolerates no more failures than one voter less,
+        so a silent voter, such as one that was replaced, is removed from it; it
+        asks to rejoin should it return. With an odd number all voters are kept,
+        because with fewer disks an accepted write would be on fewer of them.
         """
         if not self.is_confirmed_leader or self._config_change_pending():
             return
-        silent_s = _SILENT_TIMEOUTS * self._options.election_timeout_s
-        if now_s() - self._peers.since < silent_s:
+        silent_s = _MEMBER_SILENCE_TIMEOUTS * self._options.election_timeout_s
+        if now_s() - self._peers.leading_since < silent_s:
             return
         config = self.log.config()
-        even = len(voters(config)) % 2 == 0
+        is_voter_count_even = len(voters(config)) % 2 == 0
         for member in config.members:
             if member.id == self._options.id:
                 continue
-            if not member.learner and not even:
+            if not member.learner and not is_voter_count_even:
                 continue
-            patience_s = silent_s * (_LEARNER_PATIENCE if member.learner else 1)
-            if self._peers.silent_s(member) < patience_s:
+            max_silence_s = silent_s * (
+                _LEARNER_SILENCE_FACTOR if member.learner else 1
+            )
+            if self._peers.silent_s(member) < max_silence_s:
                 continue
             log_event("member_dropped", id=member.id, learner=member.learner)
             self._peers.by_id.pop(member.id, None)
@@ -803,7 +833,7 @@
         try:
             self._append(consensus_pb2.LogEntry(config=config))
         except OSError as error:
-            self._note_disk_failure(error)
+            self._handle_disk_failure(error)
 
     def _make_joiner(self) -> Joiner:
         return Joiner(
@@ -812,18 +842,18 @@
             self.log,
             self.incarnation,
             lambda: self.is_leader,
-            lambda: max(self._heard_at, self._started_at),
+            lambda: max(self._leader_heard_at, self._started_at),
         )
 
     # --- Disk and tasks ------------------------------------------------------
 
-    def _note_disk_failure(self, error: OSError) -> None:
+    def _handle_disk_failure(self, error: OSError) -> None:
         log_event("disk_failed", reason=error, leader=self.is_leader)
         self._disk_failed_at = now_s()
         if self.is_leader:
             self._become_follower("")
 
-    def _disk_fails(self) -> bool:
+    def _has_recent_disk_failure(self) -> bool:
         pause_s = _DISK_PAUSE_TIMEOUTS * self._options.election_timeout_s
         return now_s() - self._disk_failed_at < pause_s
 
--- a/damaskcroft/consensus/_setup.py
+++ b/damaskcroft/consensus/_setup.py
@@ -1,4 +1,4 @@
-"""What a replica is made of: options, state machine, a formatted disk."""
+"""Replica options, the state machine interface and disk formatting."""
 
 import abc
 import dataclasses
@@ -7,28 +7,34 @@
 from damaskcroft._generated import consensus_pb2
 from damaskcroft.consensus._disk import Disk
 from damaskcroft.consensus._errors import NotFormattedError
-from damaskcroft.consensus._hard_state import HARD_STATE_NAME, new_hard_state
+from damaskcroft.consensus._hard_state import (
+    HARD_STATE_NAME,
+    create_hard_state_file,
+)
 from damaskcroft.consensus._log import DurableLog
 
-# The first replicas of a cluster share this incarnation; a replica that lost
-# its disk draws a new one and so can't be taken for its former self.
+# The initial replicas of a cluster share this incarnation. A replica that lost
+# its disk gets a new one, so that it isn't counted as the voter it replaces.
 FIRST_INCARNATION = "first"
 
 
 class StateMachine(abc.ABC):
-    """What the log drives: the same commands give the same state."""
+    """Deterministic state machine driven by the log.
+
+    The same sequence of commands must give the same state on every replica.
+    """
 
     @abc.abstractmethod
     def apply(self, index: int, command: bytes) -> Any:
-        """Applies one committed command and gives its result."""
+        """Applies one committed command and returns its result."""
 
     @abc.abstractmethod
     def snapshot(self) -> bytes:
-        """The whole state."""
+        """Returns the whole state, serialized."""
 
     @abc.abstractmethod
     def restore(self, state: bytes) -> None:
-        """Replaces the whole state."""
+        """Replaces the whole state by a serialized one."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -36,15 +42,16 @@
     """Settings of one replica.
 
     Attributes:
-        id: this replica's id.
+        id: id of this replica.
         address: its gRPC address.
-        first_members: member ids and addresses, to find peers by after a
-            lost disk.
-        election_timeout_s: silence after which a follower may stand; the
-            actual wait is drawn between once and twice this.
-        heartbeat_s: longest time between a leader's messages.
-        snapshot_entries: log entries between snapshots.
-        snapshot_bytes: size of the log at which one is taken sooner.
+        first_members: addresses by id of the initial members, used to find
+            peers after the disk was lost.
+        election_timeout_s: time without a leader after which a follower may
+            start an election; the actual wait is drawn between once and twice
+            this.
+        heartbeat_s: maximum time between messages of a leader.
+        snapshot_entries: number of log entries between snapshots.
+        snapshot_bytes: log size at which a snapshot is taken earlier.
     """
 
     id: str
@@ -57,13 +64,14 @@
 
 
 def format_disk(disk: Disk, members: dict[str, str]) -> None:
-    """Prepares an empty disk for the very first start of a cluster.
+    """Prepares an empty disk for the first start of a cluster.
 
-    Done once by the operator on each disk, never after a disk was lost.
+    The operator runs this once per disk, never on the replacement of a lost
+    disk.
 
     Args:
         disk: an empty disk.
-        members: addresses by id of all first members.
+        members: addresses by id of all initial members.
 
     Raises:
         NotFormattedError: the disk already holds a replica.
@@ -77,4 +85,4 @@
         )
     DurableLog(disk).reset_to(consensus_pb2.Snapshot(config=config))
     state = consensus_pb2.HardState(incarnation=FIRST_INCARNATION)
-    new_hard_state(disk, state)
+    create_hard_state_file(disk, state)
--- a/damaskcroft/consensus/_transport.py
+++ b/damaskcroft/consensus/_transport.py
@@ -1,4 +1,4 @@
-"""How replicas reach each other."""
+"""Transport of messages between replicas, and its gRPC implementation."""
 
 import abc
 import contextlib
@@ -15,55 +15,54 @@
 
 
 class PeerUnreachableError(ConsensusError):
-    """A peer did not answer in time; it may have received the message."""
+    """A peer did not reply in time; it may have received the message."""
 
 
 class RequestHandler(abc.ABC):
-    """Answers what other members send; a replica is one."""
+    """Handles requests of other members; implemented by a replica."""
 
     @abc.abstractmethod
     async def handle_vote(
         self, request: consensus_pb2.VoteRequest
     ) -> consensus_pb2.VoteReply:
-        """Gives or refuses a vote; a given vote is synced first."""
+        """Grants or refuses a vote; a granted vote is made durable first."""
 
     @abc.abstractmethod
     async def handle_append(
         self, request: consensus_pb2.AppendRequest
     ) -> consensus_pb2.AppendReply:
-        """Takes a leader's entries; synced before the answer."""
+        """Stores a leader's entries; they are durable before the reply."""
 
     @abc.abstractmethod
     async def handle_install(
         self, request: consensus_pb2.InstallRequest
     ) -> consensus_pb2.AppendReply:
-        """Takes a leader's snapshot in place of missing entries."""
+        """Installs a leader's snapshot in place of missing entries."""
 
     @abc.abstractmethod
     async def handle_join(
         self, request: consensus_pb2.JoinRequest
     ) -> consensus_pb2.JoinReply:
-        """Takes a replica in, or back, as a learner."""
+        """Adds a new or returning replica as a learner."""
 
     @abc.abstractmethod
     async def handle_timeout_now(
         self, request: consensus_pb2.TimeoutNowRequest
     ) -> consensus_pb2.TimeoutNowReply:
-        """Stands for election at once, told so by its leader."""
+        """Starts an election at once, at the request of the current leader."""
 
 
 class Transport(abc.ABC):
-    """Sends one message to a member and gives its answer."""
+    """Sends one message to a member and returns its reply.
+
+    All methods raise `PeerUnreachableError` if no reply arrives in time.
+    """
 
     @abc.abstractmethod
     async def vote(
         self, address: str, request: consensus_pb2.VoteRequest
     ) -> consensus_pb2.VoteReply:
-        """Asks for a vote.
-
-        Raises:
-            PeerUnreachableError: no answer in time (also for the others).
-        """
+        """Requests a vote."""
 
     @abc.abstractmethod
     async def append(
@@ -81,22 +80,22 @@
     async def join(
         self, address: str, request: consensus_pb2.JoinRequest
     ) -> consensus_pb2.JoinReply:
-        """Asks to be taken back as a learner."""
+        """Requests to be added as a learner."""
 
     @abc.abstractmethod
     async def timeout_now(
         self, address: str, request: consensus_pb2.TimeoutNowRequest
     ) -> consensus_pb2.TimeoutNowReply:
-        """Tells a follower to stand for election at once."""
+        """Requests that a follower start an election at once."""
 
 
 class GrpcTransport(Transport):
-    """Members reached by grpclib.
+    """Transport over grpclib.
 
     Args:
         pool: channels to the members.
-        timeout_s: longest wait for a vote or an append.
-        install_timeout_s: longest wait for a snapshot's arrival.
+        timeout_s: maximum wait for any reply but that to a snapshot.
+        install_timeout_s: maximum wait for a snapshot transfer.
     """
 
     __slots__ = ("_install_timeout_s", "_pool", "_timeout_s")
@@ -104,7 +103,7 @@
     def __init__(
         self, pool: ChannelPool, timeout_s: float, install_timeout_s: float
     ):
-        """Uses channels of `pool`."""
+        """Keeps the pool and the timeouts; channels are opened when needed."""
         self._pool = pool
         self._timeout_s = timeout_s
         self._install_timeout_s = install_timeout_s
@@ -112,19 +111,19 @@
     async def vote(
         self, address: str, request: consensus_pb2.VoteRequest
     ) -> consensus_pb2.VoteReply:
-        """See Transport."""
+        """Calls `Vote` of the peer."""
         return await self._call(address, "Vote", request, self._timeout_s)
 
     async def append(
         self, address: str, request: consensus_pb2.AppendRequest
     ) -> consensus_pb2.AppendReply:
-        """See Transport."""
+        """Calls `Append` of the peer."""
         return await self._call(address, "Append", request, self._timeout_s)
 
     async def install(
         self, address: str, request: consensus_pb2.InstallRequest
     ) -> consensus_pb2.AppendReply:
-        """See Transport."""
+        """Calls `Install` of the peer, with the longer timeout."""
         return await self._call(
             address, "Install", request, self._install_timeout_s
         )
@@ -132,13 +131,13 @@
     async def join(
         self, address: str, request: consensus_pb2.JoinRequest
     ) -> consensus_pb2.JoinReply:
-        """See Transport."""
+        """Calls `Join` of the peer."""
         return await self._call(address, "Join", request, self._timeout_s)
 
     async def timeout_now(
         self, address: str, request: consensus_pb2.TimeoutNowRequest
     ) -> consensus_pb2.TimeoutNowReply:
-        """See Transport."""
+        """Calls `TimeoutNow` of the peer."""
         return await self._call(address, "TimeoutNow", request, self._timeout_s)
 
     async def _call(
@@ -149,7 +148,7 @@
             call = getattr(stub, method)(request, timeout=timeout_s)
             return await called(call, timeout_s)
         except TimeoutError as error:
-            # The connection may have gone silent for good.
+            # The connection may be dead without the transport noticing.
             self._pool.drop(address)
             raise PeerUnreachableError(f"{address}: {error}") from error
         except CALL_ERRORS as error:
@@ -157,48 +156,48 @@
 
 
 class ReplicaService(consensus_grpc.ReplicaBase):
-    """The gRPC face of a replica."""
+    """gRPC service of a replica."""
 
     def __init__(self, replica: RequestHandler):
-        """Serves `replica`."""
+        """Takes the replica that handles the requests."""
         self._replica = replica
 
     async def Vote(self, stream: Any) -> None:  # noqa: N802
-        """Answers a vote request."""
+        """Handles a vote request."""
         request = await stream.recv_message()
-        with _disk_errors_told():
+        with _disk_errors_as_unavailable():
             reply = await self._replica.handle_vote(request)
         await stream.send_message(reply)
 
     async def Append(self, stream: Any) -> None:  # noqa: N802
-        """Answers entries or a heartbeat."""
+        """Handles entries or a heartbeat."""
         request = await stream.recv_message()
-        with _disk_errors_told():
+        with _disk_errors_as_unavailable():
             reply = await self._replica.handle_append(request)
         await stream.send_message(reply)
 
     async def Install(self, stream: Any) -> None:  # noqa: N802
-        """Answers a snapshot."""
+        """Handles a snapshot."""
         request = await stream.recv_message()
-        with _disk_errors_told():
+        with _disk_errors_as_unavailable():
             reply = await self._replica.handle_install(request)
         await stream.send_message(reply)
 
     async def Join(self, stream: Any) -> None:  # noqa: N802
-        """Answers a replica that lost its disk."""
+        """Handles the request of a replica that wants to join."""
         request = await stream.recv_message()
         await stream.send_message(await self._replica.handle_join(request))
 
     async def TimeoutNow(self, stream: Any) -> None:  # noqa: N802
-        """Answers a leader that hands over."""
+        """Handles a leadership transfer to this replica."""
         request = await stream.recv_message()
         reply = await self._replica.handle_timeout_now(request)
         await stream.send_message(reply)
 
 
 @contextlib.contextmanager
-def _disk_errors_told() -> Iterator[None]:
-    """Turns a failing disk into a refusal; the asking replica tries again."""
+def _disk_errors_as_unavailable() -> Iterator[None]:
+    """Reports disk errors as UNAVAILABLE, so that the calling peer retries."""
     try:
         yield
     except OSError as error:
--- a/damaskcroft/consensus/tests/conftest.py
+++ b/damaskcroft/consensus/tests/conftest.py
@@ -3,12 +3,12 @@
 import pytest
 
 from damaskcroft.consensus.tests.fakes import Cluster
-from damaskcroft.consensus.tests.power import Folders
+from damaskcroft.consensus.tests.power_loss import Folders
 
 
 @pytest.fixture
 def cluster(loop):
-    """Three replicas in virtual time, with a leader."""
+    """Three replicas with an elected leader, in virtual time."""
     made = Cluster(loop)
     loop.pass_time(3.0)
     yield made
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def folders(tmp_path, monkeypatch):
-    """Folders that keep after a loss of power only what was synced."""
+    """Folders of which only synced content survives a power loss."""
     made = Folders(tmp_path, random.Random(0))
     made.patch(monkeypatch)
     yield made
--- a/damaskcroft/consensus/tests/fakes.py
+++ b/damaskcroft/consensus/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the disk and the network, for virtual time."""
+"""Fakes of disk and network, and a cluster of replicas in virtual time."""
 
 import asyncio
 import random
@@ -20,12 +20,12 @@
 
 
 def address_of(member):
-    """First members have theirs; others are named after themselves."""
+    """Returns the address of an initial or of an added member."""
     return MEMBERS.get(member, f"addr-{member}")
 
 
 class FakeDisk(Disk):
-    """Keeps what is synced; a crash keeps only a part of the rest."""
+    """An in-memory disk; a crash keeps only a part of unsynced content."""
 
     def __init__(self, rng, synced=None):
         self.rng = rng
@@ -40,45 +40,45 @@
         return self.synced.get(name, b"") + self.pending.get(name, b"")
 
     def append(self, name, content):
-        self._check()
+        self._raise_if_dead()
         if self.full:
-            # A full disk may take the first bytes and refuse the rest.
+            # A full disk may accept the first bytes only.
             content = content[: len(content) // 2]
         self.pending[name] = self.pending.get(name, b"") + content
-        self._check_room()
+        self._raise_if_full()
 
     async def sync(self, name):
         size = len(self.pending.get(name, b""))
         before = self.synced.get(name, b"")
         await asyncio.sleep(MAX_SYNC_S * self.rng.random())
-        self._check()
+        self._raise_if_dead()
         if self.synced.get(name, b"") != before:
-            return  # Replaced or truncated meanwhile, and so synced.
+            return  # Replaced or truncated meanwhile, which syncs the file.
         pending = self.pending.get(name, b"")
         self.synced[name] = before + pending[:size]
         self.pending[name] = pending[size:]
 
     def truncate(self, name, size_bytes):
-        self._check()
+        self._raise_if_dead()
         self.synced[name] = self.read(name)[:size_bytes]
         self.pending.pop(name, None)
 
     def replace(self, name, content):
-        self._check()
-        self._check_room()
+        self._raise_if_dead()
+        self._raise_if_full()
         self.synced[name] = content
         self.pending.pop(name, None)
 
     def overwrite(self, name, offset_bytes, content):
-        self._check()
-        self._check_room()
+        self._raise_if_dead()
+        self._raise_if_full()
         whole = bytearray(self.read(name).ljust(offset_bytes, b"\0"))
         whole[offset_bytes : offset_bytes + len(content)] = content
         self.synced[name] = bytes(whole)
         self.pending.pop(name, None)
 
     def crash(self, kept_share):
-        """The disk as the next process finds it; this one is dead."""
+        """Returns the disk as the next process finds it; this one fails."""
         self.dead = True
         survivor = FakeDisk(self.rng, self.synced)
         for name, content in self.pending.items():
@@ -86,17 +86,17 @@
             survivor.synced[name] = survivor.synced.get(name, b"") + kept
         return survivor
 
-    def _check(self):
+    def _raise_if_dead(self):
         if self.dead:
-            raise OSError("the process is gone")
+            raise OSError("the process was killed")
 
-    def _check_room(self):
+    def _raise_if_full(self):
         if self.full:
             raise OSError("no space left")
 
 
 class ListMachine(StateMachine):
-    """Remembers every command with its index."""
+    """Records every command with its index."""
 
     def __init__(self):
         self.applied = []
@@ -113,7 +113,7 @@
 
 
 class FakeNetwork:
-    """Replicas by address, and the directions that are cut."""
+    """Delivers calls between replicas, with latency, losses and cuts."""
 
     def __init__(self, rng):
         self.rng = rng
@@ -121,12 +121,13 @@
         self.cuts = set()
         self.lost_share = 0.0
         self.latency_s = LATENCY_S
-        # Whether a call that is cancelled as it fails tells only the failure.
+        # Whether a cancelled call raises only PeerUnreachableError, as in
+        # grpclib if a call is cancelled as it fails.
         self.hides_cancellation = False
-        # Senders and receivers of entries and heartbeats.
+        # Sender and receiver of each AppendRequest.
         self.appends = []
 
-    async def carry(self, sender, receiver):
+    async def deliver(self, sender, receiver):
         await asyncio.sleep(self.latency_s * (0.5 + self.rng.random()))
         lost = self.rng.random() < self.lost_share
         if (sender, receiver) in self.cuts or lost:
@@ -159,12 +160,12 @@
         copy = type(request).FromString(request.SerializeToString())
         try:
             async with asyncio.timeout(TIMEOUT_S):
-                await self.network.carry(self.sender, address)
+                await self.network.deliver(self.sender, address)
                 replica = self.network.replicas_by_address.get(address)
                 if replica is None:
                     raise PeerUnreachableError(address)
                 reply = await getattr(replica, method)(copy)
-                await self.network.carry(address, self.sender)
+                await self.network.deliver(address, self.sender)
         except (OSError, TimeoutError) as error:
             raise PeerUnreachableError(address) from error
         except asyncio.CancelledError:
@@ -236,11 +237,11 @@
         return [r for r in self.replicas.values() if r.is_leader]
 
     def leader(self):
-        """The leader with the newest term."""
+        """Returns the leader with the newest term, or None."""
         return max(self.leaders(), key=lambda r: r.term, default=None)
 
     def is_voting(self, member):
-        """Whether the newest leader counts the member's present disk."""
+        """Whether the newest leader lists the member's disk as a voter."""
         leader, replica = self.leader(), self.replicas.get(member)
         if leader is None or replica is None:
             return False
@@ -254,7 +255,7 @@
         )
 
     def write(self, value, timeout_s=1.0):
-        """Proposes at the newest leader; gives the outcome or None."""
+        """Proposes to the newest leader; returns the outcome, or None."""
         leader = self.leader()
         if leader is None:
             return None
@@ -269,7 +270,7 @@
         return self.loop.run(propose())
 
     async def propose_briefly(self, leader, value):
-        """Proposes and looks away before the outcome is known."""
+        """Proposes and cancels before the outcome is known."""
         proposing = asyncio.create_task(leader.propose(value.encode()))
         await asyncio.sleep(self.rng.random() * 0.02)
         proposing.cancel()
--- a/damaskcroft/consensus/tests/test_disk.py
+++ b/damaskcroft/consensus/tests/test_disk.py
@@ -10,19 +10,17 @@
 
 
 @pytest.mark.parametrize("below", ["log", "data/log"])
-def test_a_new_data_folder_outlasts_a_loss_of_power(folders, below):
-    """Control forgot everything when its new folder's name was not synced."""
-    machine = folders.empty("a")
+def test_new_data_folder_survives_power_loss(folders, below):
+    """Control lost its state when the name of a new folder was not synced."""
+    machine = folders.create_folder("a")
     format_disk(FolderDisk(machine / below), MEMBERS)
     left = folders.after_power_loss("a", machine, kept_share=0.0)
     assert FolderDisk(left / below).read("vote") is not None
 
 
-def test_what_a_killed_process_wrote_lasts_once_it_is_acknowledged(
-    folders, loop
-):
-    """The next process acknowledged it though no disk held it yet."""
-    machine = folders.empty("a")
+def test_entries_of_killed_process_are_durable_once_acknowledged(folders, loop):
+    """The next process acknowledged entries that no disk had stored yet."""
+    machine = folders.create_folder("a")
     entry = consensus_pb2.LogEntry(index=1, term=1, command=b"x")
     DurableLog(FolderDisk(machine / "log")).append([entry])
     log = DurableLog(FolderDisk(machine / "log"))
@@ -32,8 +30,9 @@
     assert DurableLog(FolderDisk(left / "log")).last_index == 1
 
 
-def test_a_slow_disk_shows_in_the_log(tmp_path, monkeypatch, caplog):
-    # Against elections and refusals whose cause no line names.
+def test_slow_disk_is_logged(tmp_path, monkeypatch, caplog):
+    # Without such a line, elections and refusals caused by a slow disk can't be
+    # explained from the logs.
     sync = os.fdatasync
 
     def sync_late(handle):
--- a/damaskcroft/consensus/tests/test_elections.py
+++ b/damaskcroft/consensus/tests/test_elections.py
@@ -1,22 +1,21 @@
-"""A leader is elected again, whatever asking one voter for its vote comes to.
-
-What happened: after a leader was killed (seed 13 of standins/tests/chase.py,
-version 38), the two other control nodes ran on with equal logs, term 38 and
-entry 7184 each, and neither stood for election in a minute: no node's term
-moved, no line was logged. An accepted version stayed where it was.
-
-With the lines `election_not_won` and `vote_refused` it came again in
-test_leader_killed_in_a_burst: for half a minute and more one node stood each
-second, `no_pre_vote silent_s=28.8`, and the other refused each time, `reason=
-hears_leader`. The one whom it heard was the one that stood. That node had led
-before (`leader_cut_off`), its tasks were cancelled as it stepped down, and one
-of them went on: the RPC library turns a cancellation that comes with a failure
-of the call into that failure. The task sent heartbeats under the present term
-in the name of a node that led no more, and whoever heard them neither stood
-nor gave its vote.
-
-The new leaders before it had stepped down 0.15 s after they were elected,
-`leader_cut_off silent_s=inf`: they had given nobody the time to answer.
+"""A leader is elected, even if requests to a voter fail or hang.
+
+The tests guard against two failures after the loss of a leader:
+
+- Both remaining nodes ran on for a minute with equal logs (term 38, entry 7184)
+  without an election and without a log line. An accepted version was not
+  activated. (Seed 13 of standins/tests/chase.py, version 38.)
+- For half a minute, one node started an election each second (`no_pre_vote
+  silent_s=28.8`) and the other one refused its vote (`hears_leader`); seen in
+  test_leader_killed_in_a_burst. The candidate itself was the leader that the
+  other one heard: it had led and stepped down (`leader_cut_off`), but one of
+  its replication tasks survived its cancellation, because the RPC library turns
+  a cancellation that coincides with a failure of the call into that failure.
+  The task went on to send heartbeats under the current term, and a replica that
+  receives heartbeats neither starts an election nor grants its vote.
+
+Earlier leaders had stepped down 0.15 s after their election
+(`leader_cut_off silent_s=inf`), before any follower had time to reply.
 """
 
 import asyncio
@@ -28,9 +27,10 @@
 
 ELECTED_WITHIN_S = 5.0
 READ_TIMEOUT_S = 3.0
-# Above the election timeout of 0.6 s, below the longest wait for a leader.
-SLOW_MOMENT_S = 0.75
-# Twice that timeout, and a look of the leader at its followers.
+# Longer than the election timeout of 0.6 s, shorter than the longest wait for a
+# leader.
+SILENCE_S = 0.75
+# Twice that timeout, and one interval of the leader's check of its followers.
 LONGEST_ELECTION_WAIT_S = 1.4
 
 
@@ -51,11 +51,11 @@
     [fails, never_answers, ends_by_cancellation],
     ids=lambda f: f.__name__,
 )
-def test_a_question_that_goes_wrong_once_ends_no_election(cluster, loop, fault):
+def test_election_succeeds_after_failed_vote_requests(cluster, loop, fault):
     leader = next(m for m, r in cluster.replicas.items() if r.is_leader)
     others = [r for m, r in cluster.replicas.items() if m != leader]
     for replica in others:
-        spoil_first_votes(replica, fault, count=2)
+        fail_first_vote_requests(replica, fault, count=2)
     cluster.crash(leader)
     loop.pass_time(ELECTED_WITHIN_S)
     assert len(cluster.leaders()) == 1
@@ -64,46 +64,44 @@
 @pytest.mark.parametrize(
     "fault", [fails, never_answers], ids=lambda f: f.__name__
 )
-def test_a_voter_that_can_never_be_asked_stops_no_election(
-    cluster, loop, fault
-):
+def test_election_succeeds_without_reply_of_one_voter(cluster, loop, fault):
     leader = next(m for m, r in cluster.replicas.items() if r.is_leader)
     address = cluster.replicas[leader].address
     for replica in cluster.replicas.values():
-        spoil_votes_of(replica, address, fault)
+        fail_vote_requests_to(replica, address, fault)
     cluster.crash(leader)
     loop.pass_time(ELECTED_WITHIN_S)
     assert len(cluster.leaders()) == 1
 
 
-def spoil_first_votes(replica, fault, count):
-    """The first questions for a vote go wrong; later ones are asked."""
+def fail_first_vote_requests(replica, fault, count):
+    """Makes the first vote requests of a replica fail."""
     asked = []
     vote = replica._transport.vote
 
-    async def spoilt(address, request):
+    async def faulty_vote(address, request):
         asked.append(address)
         if len(asked) <= count:
             await fault()
         return await vote(address, request)
 
-    replica._transport.vote = spoilt
+    replica._transport.vote = faulty_vote
 
 
-def spoil_votes_of(replica, address, fault):
-    """Each question to one voter goes wrong."""
+def fail_vote_requests_to(replica, address, fault):
+    """Makes all vote requests of a replica to one voter fail."""
     vote = replica._transport.vote
 
-    async def spoilt(asked, request):
+    async def faulty_vote(asked, request):
         if asked == address:
             await fault()
         return await vote(asked, request)
 
-    replica._transport.vote = spoilt
+    replica._transport.vote = faulty_vote
 
 
 def cut_off(cluster, member):
-    """Nothing passes between a member and the others, either way."""
+    """Drops all messages between a member and the others."""
     here = cluster.replicas[member].address
     for other in cluster.replicas.values():
         if other.address != here:
@@ -111,13 +109,13 @@
             cluster.network.cuts |= {(other.address, here)}
 
 
-def leader_name(cluster):
+def find_leader_id(cluster):
     return next(m for m, r in cluster.replicas.items() if r.is_leader)
 
 
-def test_who_has_stepped_down_sends_nothing_as_a_leader(cluster, loop):
+def test_former_leader_sends_no_append_requests(cluster, loop):
     cluster.network.hides_cancellation = True
-    former = leader_name(cluster)
+    former = find_leader_id(cluster)
     address = cluster.replicas[former].address
     cut_off(cluster, former)
     loop.pass_time(ELECTED_WITHIN_S)
@@ -129,25 +127,25 @@
     assert address not in {sender for sender, _ in cluster.network.appends}
 
 
-def test_a_leader_is_elected_after_one_that_was_cut_off_for_a_while(
-    cluster, loop
-):
+def test_leader_is_elected_after_former_leader_was_cut_off(cluster, loop):
     cluster.network.hides_cancellation = True
-    cut_off(cluster, leader_name(cluster))
+    cut_off(cluster, find_leader_id(cluster))
     loop.pass_time(ELECTED_WITHIN_S)
     cluster.network.cuts.clear()
     loop.pass_time(ELECTED_WITHIN_S)
-    cluster.crash(leader_name(cluster))
+    cluster.crash(find_leader_id(cluster))
     loop.pass_time(ELECTED_WITHIN_S)
     assert len(cluster.leaders()) == 1
 
 
-def test_a_new_leader_gives_the_others_time_to_answer(cluster, loop, caplog):
-    """Answers take 0.08 to 0.27 s here; the election timeout is 0.6 s."""
+def test_new_leader_does_not_step_down_before_first_replies(
+    cluster, loop, caplog
+):
+    """Replies take 0.08 to 0.27 s here; the election timeout is 0.6 s."""
     cluster.network.latency_s = 0.08
     with caplog.at_level("INFO"):
         for _ in range(5):
-            crashed = leader_name(cluster)
+            crashed = find_leader_id(cluster)
             cluster.crash(crashed)
             loop.pass_time(ELECTED_WITHIN_S)
             cluster.start(crashed)
@@ -156,11 +154,12 @@
     assert not [t for t in caplog.messages if "event=leader_cut_off" in t]
 
 
-def test_the_newest_log_wins_though_the_other_voter_is_a_term_ahead(
-    cluster, loop
-):
-    """Neither of two was ever elected, and the third had lost its disk."""
-    newest = leader_name(cluster)
+def test_newest_log_wins_against_voter_in_later_term(cluster, loop):
+    """Neither of two remaining voters was ever elected.
+
+    The one with the older log was a term ahead; the third had lost its disk.
+    """
+    newest = find_leader_id(cluster)
     other, gone = (m for m in cluster.replicas if m != newest)
     cluster.crash(gone)
     cluster.crash(other)
@@ -172,11 +171,11 @@
     for member in (newest, other):
         cluster.start(member)
     loop.pass_time(ELECTED_WITHIN_S)
-    assert leader_name(cluster) == newest
+    assert find_leader_id(cluster) == newest
 
 
-def test_a_read_at_a_leader_that_steps_down_is_answered_at_once(cluster, loop):
-    """It waited out its whole time though nobody could confirm it any more."""
+def test_read_fails_at_once_if_leader_steps_down(cluster, loop):
+    """The read waited for its whole timeout though it could not succeed."""
     leader = cluster.leader()
     cut_off(cluster, leader.leader_id)
 
@@ -191,24 +190,22 @@
     assert not loop.run(read())
 
 
-def test_a_leader_outlasts_a_moment_in_which_nobody_answers(
-    cluster, loop, caplog
-):
-    """Each slow moment of a busy machine cost an election and its refusals."""
+def test_leader_survives_short_silence_of_followers(cluster, loop, caplog):
+    """Each delay on a busy machine caused an election and refused calls."""
     leader = cluster.leader()
     address = leader.address
     for replica in cluster.replicas.values():
         cluster.network.cuts.add((replica.address, address))
     with caplog.at_level("INFO"):
-        loop.pass_time(SLOW_MOMENT_S)
+        loop.pass_time(SILENCE_S)
         cluster.network.cuts.clear()
         loop.pass_time(ELECTED_WITHIN_S)
     assert cluster.leaders() == [leader]
     assert not [t for t in caplog.messages if "event=leader_elected" in t]
 
 
-def test_a_leader_that_is_cut_off_steps_down_in_bounded_time(cluster, loop):
-    """Callers there are kept waiting though another one may lead."""
+def test_cut_off_leader_steps_down_in_bounded_time(cluster, loop):
+    """Otherwise its callers wait although another leader may be elected."""
     leader = cluster.leader()
     cut_off(cluster, leader.leader_id)
     loop.pass_time(LONGEST_ELECTION_WAIT_S)
--- a/damaskcroft/consensus/tests/test_hard_state.py
+++ b/damaskcroft/consensus/tests/test_hard_state.py
@@ -1,4 +1,4 @@
-"""Term and vote of one replica, over writes that fail or are torn."""
+"""Term and vote of a replica after failed and torn writes."""
 
 import random
 
@@ -8,14 +8,17 @@
 
 from damaskcroft._generated import consensus_pb2
 from damaskcroft.consensus import DurableLog, FolderDisk, LogDamagedError
-from damaskcroft.consensus._hard_state import HardStateFile, new_hard_state
+from damaskcroft.consensus._hard_state import (
+    HardStateFile,
+    create_hard_state_file,
+)
 from damaskcroft.consensus.tests.fakes import FakeDisk
 
 BLOCK_BYTES = 4096
 
 
 class FailingDisk(FakeDisk):
-    """Tears and refuses the overwrites of its plan."""
+    """Tears and refuses the overwrite with the number `torn_at`."""
 
     def __init__(self, synced=None):
         super().__init__(random.Random(0), synced)
@@ -36,7 +39,8 @@
 
 
 def formatted(disk):
-    new_hard_state(disk, consensus_pb2.HardState(incarnation="i"))
+    """Creates a hard state file on a disk and returns the disk."""
+    create_hard_state_file(disk, consensus_pb2.HardState(incarnation="i"))
     return disk
 
 
@@ -48,8 +52,8 @@
     return hard.term, hard.voted_for
 
 
-def test_a_save_swaps_no_file():
-    # Against elections that wait for the names of a busy disk.
+def test_save_replaces_no_file():
+    # Replacing a file delays elections when the file system is busy.
     disk = formatted(FailingDisk())
     hard, before = read(disk), disk.replaces
     hard.save(1, "a")
@@ -58,7 +62,7 @@
 
 
 @pytest.mark.parametrize("copy", [0, 1])
-def test_one_damaged_copy_loses_nothing(copy):
+def test_state_is_read_from_intact_copy(copy):
     disk = formatted(FailingDisk())
     read(disk).save(7, "a")
     disk.overwrite("vote", copy * BLOCK_BYTES + 4, b"\xff\xff\xff\xff")
@@ -76,7 +80,7 @@
         read(disk)
 
 
-def test_a_file_of_one_copy_is_read_and_gets_its_second():
+def test_file_with_one_copy_is_read_and_completed():
     disk = FailingDisk()
     formatted(disk)
     disk.synced["vote"] = disk.synced["vote"][:BLOCK_BYTES].rstrip(b"\0")
@@ -97,7 +101,7 @@
 
 @given(steps=STEPS)
 def test_what_was_saved_holds_over_torn_writes(steps):
-    # Against two votes in one term.
+    # A lost vote would let the replica vote twice in one term.
     disk = formatted(FailingDisk())
     hard, term = read(disk), 0
     for votes, torn, restarts in steps:
@@ -117,11 +121,9 @@
             assert torn or held(hard) == wanted
 
 
-def test_what_a_killed_process_left_to_the_kernel_lasts_once_it_is_read(
-    folders,
-):
-    # Against a vote that is read, acted upon, and lost with the power.
-    machine = folders.empty("a")
+def test_state_of_killed_process_is_durable_once_read(folders):
+    # Otherwise a vote could be read, acted upon and then lost with the power.
+    machine = folders.create_folder("a")
     disk = formatted(FolderDisk(machine / "log"))
     hard = read(disk)
 
--- a/damaskcroft/consensus/tests/test_handover.py
+++ b/damaskcroft/consensus/tests/test_leadership_transfer.py
@@ -1,7 +1,7 @@
-"""A leader that ends hands over first.
+"""Leadership transfer at the planned end of a leader.
 
-What happened: each planned end of a leader left the others to wait for an
-election timeout, and operators' changes and reads were refused meanwhile.
+Without it, each planned end left the other replicas without a leader for an
+election timeout, during which operators' changes and reads were refused.
 """
 
 import asyncio
@@ -13,12 +13,12 @@
 from damaskcroft.consensus import Committed, NotLeader, Undecided
 from damaskcroft.consensus.tests import fakes
 from damaskcroft.consensus.tests.fakes import Cluster
-from damaskcroft.consensus.tests.test_members import SETTLED_S, voting
+from damaskcroft.consensus.tests.test_members import SETTLED_S, voter_ids
 
 ELECTION_TIMEOUT_S = 0.6
-WITHIN_S = ELECTION_TIMEOUT_S
+MAX_TRANSFER_S = ELECTION_TIMEOUT_S
 RETRY_S = 0.001
-# A solid-state disk; what it takes counts into the time without commits.
+# Typical of a solid-state disk; syncs count into the time without commits.
 FAST_SYNC_S = 0.004
 SEEDS = range(10)
 
@@ -27,12 +27,12 @@
     return [r for r in cluster.replicas.values() if r is not leader]
 
 
-def hand_over(cluster, leader, within_s=WITHIN_S):
+def run_transfer(cluster, leader, within_s=MAX_TRANSFER_S):
     return cluster.loop.run(leader.hand_over(within_s))
 
 
 class Writer:
-    """Writes on and on at whoever leads; keeps what was acknowledged."""
+    """Writes continuously to the present leader; keeps accepted writes."""
 
     def __init__(self, cluster):
         self.cluster = cluster
@@ -75,8 +75,8 @@
 
 
 async def end(cluster, leader):
-    """What a process does after SIGTERM."""
-    await leader.hand_over(WITHIN_S)
+    """Ends a leader as its process does after SIGTERM."""
+    await leader.hand_over(MAX_TRANSFER_S)
     await leader.stop()
     member = leader._options.id
     cluster.replicas.pop(member)
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_commits_go_on_at_once_after_a_planned_end_of_the_leader(
+def test_commits_continue_at_once_after_planned_end_of_leader(
     loop, monkeypatch, seed
 ):
     monkeypatch.setattr(fakes, "MAX_SYNC_S", FAST_SYNC_S)
@@ -103,9 +103,9 @@
     cluster.stop()
 
 
-def test_the_former_leader_follows_until_it_stops(cluster, loop):
+def test_former_leader_follows_until_it_stops(cluster, loop):
     leader = cluster.leader()
-    assert hand_over(cluster, leader)
+    assert run_transfer(cluster, leader)
     assert not leader.is_leader
     assert leader.leader_address == cluster.leader().address
     assert isinstance(cluster.write("after"), Committed)
@@ -114,19 +114,19 @@
     assert [value for _, value in applied] == ["after"]
 
 
-def test_a_follower_has_nothing_to_hand_over(cluster, loop):
+def test_transfer_from_follower_changes_nothing(cluster, loop):
     term = cluster.leader().term
     follower = others_of(cluster, cluster.leader())[0]
-    assert hand_over(cluster, follower)
+    assert run_transfer(cluster, follower)
     loop.pass_time(1.0)
     assert cluster.leader().term == term
 
 
-def test_a_proposal_during_a_handover_is_told_of_the_new_leader(cluster, loop):
+def test_proposal_during_transfer_is_referred_to_new_leader(cluster, loop):
     leader = cluster.leader()
 
     async def propose_meanwhile():
-        handing_over = asyncio.create_task(leader.hand_over(WITHIN_S))
+        handing_over = asyncio.create_task(leader.hand_over(MAX_TRANSFER_S))
         await asyncio.sleep(0)
         return await leader.propose(b"meanwhile"), await handing_over
 
@@ -137,15 +137,13 @@
     assert all(not machine.applied for machine in cluster.machines.values())
 
 
-def test_what_was_proposed_before_is_committed_before_the_handover(
-    cluster, loop
-):
+def test_earlier_proposal_is_committed_before_transfer(cluster, loop):
     leader = cluster.leader()
 
     async def propose_first():
         proposing = asyncio.create_task(leader.propose(b"before"))
         await asyncio.sleep(0)
-        done = await leader.hand_over(WITHIN_S)
+        done = await leader.hand_over(MAX_TRANSFER_S)
         return await proposing, done
 
     outcome, done = loop.run(propose_first())
@@ -153,94 +151,95 @@
     assert isinstance(outcome, Committed)
 
 
-def test_a_leader_that_nobody_follows_goes_on_and_says_so(cluster, loop):
+def test_transfer_without_followers_fails_and_leader_stays(cluster, loop):
     leader = cluster.leader()
     for replica in others_of(cluster, leader):
         cluster.crash(replica._options.id)
     started_at = loop.time()
-    assert not hand_over(cluster, leader)
-    assert loop.time() - started_at <= WITHIN_S + 0.001
+    assert not run_transfer(cluster, leader)
+    assert loop.time() - started_at <= MAX_TRANSFER_S + 0.001
     assert leader.is_leader
 
 
-def dies(cluster, address):
-    """The process behind an address ends without another word."""
+def stop_abruptly(cluster, address):
+    """Stops the replica at an address without any further message."""
     dead = cluster.network.replicas_by_address.pop(address)
     cluster.replicas.pop(dead._options.id)
     return dead.stop()
 
 
-def test_a_handover_to_a_replica_that_dies_goes_to_the_other(cluster, loop):
+def test_transfer_falls_back_to_other_voter(cluster, loop):
     leader = cluster.leader()
-    tell, told = leader._transport.timeout_now, []
-
-    async def dies_as_it_is_told(address, request):
-        told.append(address)
-        if len(told) == 1:
-            await dies(cluster, address)
-        return await tell(address, request)
-
-    leader._transport.timeout_now = dies_as_it_is_told
-    assert hand_over(cluster, leader)
-    assert len(set(told)) == 2
-    assert cluster.leader().address == told[1]
+    send_timeout_now, recipients = leader._transport.timeout_now, []
+
+    async def stop_before_delivery(address, request):
+        recipients.append(address)
+        if len(recipients) == 1:
+            await stop_abruptly(cluster, address)
+        return await send_timeout_now(address, request)
+
+    leader._transport.timeout_now = stop_before_delivery
+    assert run_transfer(cluster, leader)
+    assert len(set(recipients)) == 2
+    assert cluster.leader().address == recipients[1]
     assert isinstance(cluster.write("after"), Committed)
 
 
-def test_after_a_handover_to_one_that_dies_with_its_votes_one_is_elected(
-    cluster, loop
-):
-    """The former leader gave its vote and can't take it back."""
+def test_leader_is_elected_after_successor_dies_with_its_votes(cluster, loop):
+    """The former leader has granted its vote and can't withdraw it."""
     leader = cluster.leader()
     assert isinstance(cluster.write("before"), Committed)
-    tell = leader._transport.timeout_now
+    send_timeout_now = leader._transport.timeout_now
 
-    async def dies_once_it_stood(address, request):
-        reply = await tell(address, request)
+    async def stop_after_election(address, request):
+        reply = await send_timeout_now(address, request)
         while leader.is_leader:
             await asyncio.sleep(RETRY_S / 10)
-        await dies(cluster, address)
+        await stop_abruptly(cluster, address)
         return reply
 
-    leader._transport.timeout_now = dies_once_it_stood
-    assert not hand_over(cluster, leader)
+    leader._transport.timeout_now = stop_after_election
+    assert not run_transfer(cluster, leader)
     loop.pass_time(5 * ELECTION_TIMEOUT_S)
     assert isinstance(cluster.write("after"), Committed)
     machine = cluster.machines[cluster.leader().leader_id]
     assert [value for _, value in machine.applied] == ["before", "after"]
 
 
-def test_no_lease_is_left_beside_a_replica_that_may_still_stand(cluster, loop):
-    """It reads of the order late, and voters then ignore who leads."""
+def test_leader_has_no_lease_while_timeout_now_may_arrive(cluster, loop):
+    """TimeoutNow may arrive late; voters then ignore the present leader."""
     leader = cluster.leader()
-    tell, late = leader._transport.timeout_now, []
+    send_timeout_now, delayed = leader._transport.timeout_now, []
 
-    async def arrives_late(address, request):
-        late.append((address, request))
+    async def delay_delivery(address, request):
+        delayed.append((address, request))
         await asyncio.sleep(1e6)
 
-    leader._transport.timeout_now = arrives_late
-    assert not hand_over(cluster, leader)
+    leader._transport.timeout_now = delay_delivery
+    assert not run_transfer(cluster, leader)
     assert leader.is_leader
     assert isinstance(cluster.write("goes on"), Committed)
     loop.pass_time(1.0)
     assert not loop.run(cluster.confirmed_leaders())
     assert loop.run(leader.confirm_leader(1.0))
-    loop.run(tell(*late[0]))
+    loop.run(send_timeout_now(*delayed[0]))
     loop.pass_time(0.3)
-    assert cluster.leader().address == late[0][0]
+    assert cluster.leader().address == delayed[0][0]
     assert loop.run(cluster.confirmed_leaders()) == [cluster.leader()]
     assert isinstance(cluster.write("after"), Committed)
 
 
-def test_an_older_replica_that_knows_no_handover_does_no_harm(cluster, loop):
-    """It answers that there is no such call, and refuses while it hears one."""
+def test_transfer_to_older_replicas_fails_without_harm(cluster, loop):
+    """A replica of an older release does not implement TimeoutNow.
+
+    It also refuses its vote while it hears a leader.
+    """
     leader = cluster.leader()
     for replica in others_of(cluster, leader):
         del cluster.network.replicas_by_address[replica.address]
         older = OlderReplica(replica)
         cluster.network.replicas_by_address[replica.address] = older
-    assert not hand_over(cluster, leader)
+    assert not run_transfer(cluster, leader)
     assert leader.is_leader
     assert isinstance(cluster.write("goes on"), Committed)
 
@@ -256,12 +255,12 @@
         raise fakes.PeerUnreachableError("no such call")
 
 
-def test_two_handovers_at_once_end_with_one_leader(cluster, loop):
+def test_two_concurrent_transfers_end_with_one_leader(cluster, loop):
     leader = cluster.leader()
 
     async def twice():
         return await asyncio.gather(
-            leader.hand_over(WITHIN_S), leader.hand_over(WITHIN_S)
+            leader.hand_over(MAX_TRANSFER_S), leader.hand_over(MAX_TRANSFER_S)
         )
 
     assert loop.run(twice()) == [True, True]
@@ -269,12 +268,12 @@
     assert cluster.leader().term == leader.term
 
 
-def test_all_replicas_hand_over_at_once(cluster, loop):
-    """All nodes get their word to end in the same moment."""
+def test_all_replicas_transfer_at_once(cluster, loop):
+    """All nodes are told to shut down at the same moment."""
 
     async def all_at_once():
         replicas = cluster.replicas.values()
-        await asyncio.gather(*(r.hand_over(WITHIN_S) for r in replicas))
+        await asyncio.gather(*(r.hand_over(MAX_TRANSFER_S) for r in replicas))
 
     loop.run(all_at_once())
     loop.pass_time(0.1)
@@ -283,17 +282,17 @@
 
 
 @pytest.mark.parametrize("passed_s", [0.0, 0.01, 0.03, 0.1, 0.6, 2.0])
-def test_a_handover_while_a_member_is_replaced(cluster, loop, passed_s):
+def test_transfer_while_member_is_replaced(cluster, loop, passed_s):
     leader = cluster.leader()
     assert isinstance(cluster.write("before"), Committed)
     gone = others_of(cluster, leader)[0]._options.id
     cluster.crash(gone)
     cluster.add("new")
     loop.pass_time(passed_s)
-    hand_over(cluster, leader)
+    run_transfer(cluster, leader)
     loop.pass_time(SETTLED_S)
-    assert gone not in voting(cluster)
-    assert len(voting(cluster)) == 3
+    assert gone not in voter_ids(cluster)
+    assert len(voter_ids(cluster)) == 3
     assert isinstance(cluster.write("after"), Committed)
     loop.pass_time(1.0)
     values = [value for _, value in cluster.machines["new"].applied]
@@ -301,7 +300,7 @@
 
 
 @pytest.mark.parametrize("passed_s", [0.0, 0.001, 0.003, 0.02, 0.2])
-def test_a_handover_while_a_snapshot_is_installed(cluster, loop, passed_s):
+def test_transfer_while_snapshot_is_installed(cluster, loop, passed_s):
     leader = cluster.leader()
     behind = others_of(cluster, leader)[0]._options.id
     cluster.crash(behind)
@@ -309,7 +308,7 @@
         assert isinstance(cluster.write(f"v{number}"), Committed)
     cluster.start(behind)
     loop.pass_time(passed_s)
-    assert hand_over(cluster, leader)
+    assert run_transfer(cluster, leader)
     assert isinstance(cluster.write("after"), Committed)
     loop.pass_time(1.0)
     applied = [machine.applied for machine in cluster.machines.values()]
@@ -317,9 +316,7 @@
     assert len(applied[0]) == 4 * cluster.snapshot_entries + 1
 
 
-def test_a_vote_is_given_without_being_told_only_once_nobody_leads(
-    cluster, loop
-):
+def test_vote_beside_leader_is_granted_only_in_transfer(cluster, loop):
     leader = cluster.leader()
     voter, candidate = others_of(cluster, leader)
     request = consensus_pb2.VoteRequest(
@@ -334,14 +331,14 @@
     assert loop.run(voter.handle_vote(request)).granted
 
 
-def test_no_replica_that_has_stopped_takes_over(cluster, loop):
+def test_stopped_replica_refuses_transfer(cluster, loop):
     leader = cluster.leader()
     stopped = others_of(cluster, leader)[0]
     loop.run(stopped.stop())
-    told = consensus_pb2.TimeoutNowRequest(
+    request = consensus_pb2.TimeoutNowRequest(
         term=leader.term, leader=leader.leader_id
     )
-    reply = loop.run(stopped.handle_timeout_now(told))
+    reply = loop.run(stopped.handle_timeout_now(request))
     loop.pass_time(ELECTION_TIMEOUT_S)
     assert not reply.stands
     assert not stopped.is_leader
@@ -349,12 +346,12 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_no_replica_that_ends_itself_takes_over(loop, seed):
+def test_replica_that_shuts_down_refuses_transfer(loop, seed):
     cluster = Cluster(loop, seed)
     loop.pass_time(3.0)
     leader = cluster.leader()
     ending, staying = others_of(cluster, leader)
-    loop.run(ending.hand_over(WITHIN_S, for_good=True))
-    assert loop.run(leader.hand_over(WITHIN_S, for_good=True))
+    loop.run(ending.hand_over(MAX_TRANSFER_S, for_good=True))
+    assert loop.run(leader.hand_over(MAX_TRANSFER_S, for_good=True))
     assert staying.is_leader
     cluster.stop()
--- a/damaskcroft/consensus/tests/test_log.py
+++ b/damaskcroft/consensus/tests/test_log.py
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def folder(tmp_path):
-    """A folder with five synced entries and one that never was."""
+    """A folder with five synced entries and one that was not synced."""
     log = DurableLog(FolderDisk(tmp_path))
 
     async def fill():
@@ -41,7 +41,7 @@
     path.write_bytes(content)
 
 
-def test_entries_come_back_after_a_restart(folder):
+def test_entries_are_read_after_restart(folder):
     log = DurableLog(FolderDisk(folder))
     assert [log.entry(i).command for i in range(1, 7)] == [
         f"command {i}".encode() for i in range(1, 7)
@@ -74,7 +74,9 @@
 
 def test_damaged_snapshot_is_an_error(folder):
     log = DurableLog(FolderDisk(folder))
-    log.compact(consensus_pb2.Snapshot(index=4, term=1, state=b"x"), keep=1)
+    log.compact(
+        consensus_pb2.Snapshot(index=4, term=1, state=b"x"), max_kept_entries=1
+    )
     reopened = DurableLog(FolderDisk(folder))
     assert (reopened.first_index, reopened.last_index) == (4, 6)
     damage(folder / "snapshot", 9)
@@ -82,20 +84,20 @@
         DurableLog(FolderDisk(folder))
 
 
-class StoppingDisk(FolderDisk):
-    """Once takes a file's new content, or its name, and then no more of it."""
+class FailingReplaceDisk(FolderDisk):
+    """Fails one replacement, before or after the file was renamed."""
 
-    def __init__(self, folder, stops_at, is_renamed):
+    def __init__(self, folder, failing_name, is_renamed):
         super().__init__(folder)
-        self.stops_at = stops_at
+        self.failing_name = failing_name
         self.is_renamed = is_renamed
 
     def replace(self, name, content):
-        stops = name == self.stops_at
-        if not stops or self.is_renamed:
+        fails = name == self.failing_name
+        if not fails or self.is_renamed:
             super().replace(name, content)
-        if stops:
-            self.stops_at = None
+        if fails:
+            self.failing_name = None
             raise OSError("stopped")
 
 
@@ -105,20 +107,20 @@
 
 
 @pytest.fixture(params=[4, 9], ids=["longer, of another term", "shorter"])
-def reset_midway(request, folder, is_renamed):
-    """A log whose snapshot was replaced when its disk took nothing more."""
-    log = DurableLog(StoppingDisk(folder, "log", is_renamed))
+def interrupted_reset(request, folder, is_renamed):
+    """A log whose disk failed after its snapshot was replaced."""
+    log = DurableLog(FailingReplaceDisk(folder, "log", is_renamed))
     index = request.param
     with pytest.raises(OSError):
         log.reset_to(consensus_pb2.Snapshot(index=index, term=2, state=b"x"))
     return log, folder, index
 
 
-def test_what_follows_a_snapshot_is_kept_after_a_stop_before_its_log(
-    reset_midway,
+def test_entries_after_interrupted_reset_are_readable(
+    interrupted_reset,
 ):
-    """Entries taken after such a stop were unreadable or of two logs."""
-    _, folder, index = reset_midway
+    """Entries stored after such a failure were unreadable or inconsistent."""
+    _, folder, index = interrupted_reset
     log = DurableLog(FolderDisk(folder))
     assert (log.last_index, log.last_term) == (index, 2)
     log.append([entry(index + 1, term=2)])
@@ -128,9 +130,9 @@
     assert reopened.entry(index + 1).term == 2
 
 
-def test_a_log_that_its_disk_did_not_replace_goes_on_as_it_was(reset_midway):
-    """It went on from a snapshot that lay beyond its last entry."""
-    log, folder, _ = reset_midway
+def test_log_continues_unchanged_after_failed_reset(interrupted_reset):
+    """The log continued from a snapshot beyond its last entry."""
+    log, folder, _ = interrupted_reset
     assert (log.last_index, log.snapshot.index) == (6, 0)
     log.append([entry(7), entry(8)])
     asyncio.run(log.sync())
@@ -138,11 +140,11 @@
     assert [log.entry(i).index for i in (6, 7)] == [6, 7]
 
 
-def test_a_log_whose_compaction_failed_midway_is_readable(folder, is_renamed):
-    """It cut and appended at places of a file that was no longer there."""
-    log = DurableLog(StoppingDisk(folder, "log", is_renamed))
+def test_log_is_readable_after_failed_compaction(folder, is_renamed):
+    """The log was changed at offsets of a file that had been replaced."""
+    log = DurableLog(FailingReplaceDisk(folder, "log", is_renamed))
     with pytest.raises(OSError):
-        log.compact(consensus_pb2.Snapshot(index=4, term=1), keep=1)
+        log.compact(consensus_pb2.Snapshot(index=4, term=1), max_kept_entries=1)
     log.truncate_from(6)
     log.append([entry(6, term=2), entry(7, term=2)])
     asyncio.run(log.sync())
@@ -152,24 +154,24 @@
 
 
 @pytest.mark.parametrize("term, last_index", [(1, 6), (2, 3)])
-def test_a_snapshot_keeps_only_entries_that_go_on_from_it(
+def test_reset_keeps_only_entries_consistent_with_snapshot(
     folder, term, last_index
 ):
-    """Entries of a former leader were kept behind a later one's snapshot."""
+    """Entries of a former leader were kept after a later leader's snapshot."""
     log = DurableLog(FolderDisk(folder))
     log.reset_to(consensus_pb2.Snapshot(index=3, term=term, state=b"x"))
     assert log.last_index == last_index
     assert DurableLog(FolderDisk(folder)).last_index == last_index
 
 
-def test_a_folder_is_formatted_only_once(tmp_path):
+def test_folder_is_formatted_only_once(tmp_path):
     format_disk(FolderDisk(tmp_path), MEMBERS)
     with pytest.raises(NotFormattedError):
         format_disk(FolderDisk(tmp_path), MEMBERS)
 
 
 def test_new_leader_soon_after_the_old_one_is_cut_off():
-    """Within two election timeouts and a vote, in virtual time."""
+    """Two election timeouts and a vote suffice, in virtual time."""
     loop = VirtualTimeLoop()
     asyncio.set_event_loop(loop)
     cluster = Cluster(loop, seed=3)
--- a/damaskcroft/consensus/tests/test_members.py
+++ b/damaskcroft/consensus/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Members that are replaced, dropped and taken back; disks that fail."""
+"""Replaced, dropped and rejoining members, and failing disks."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 SETTLED_S = 8.0
 
 
-def voting(cluster):
+def voter_ids(cluster):
     config = cluster.leader().log.config()
     return sorted(m.id for m in config.members if not m.learner)
 
@@ -20,70 +20,70 @@
     return isinstance(cluster.write(value), Committed)
 
 
-def lose(cluster, member):
-    """A machine that is gone for good."""
+def lose_machine(cluster, member):
+    """Crashes a member whose machine does not return."""
     cluster.crash(member)
 
 
 @pytest.mark.parametrize("member", ["a", "b", "c"])
-def test_a_replaced_member_stops_counting(cluster, loop, member):
-    """One member is gone, a new one comes; then one more may be lost."""
+def test_replaced_member_is_no_longer_voter(cluster, loop, member):
+    """A member is lost and replaced; then one more may be lost."""
     assert accepted(cluster, "before")
-    lose(cluster, member)
+    lose_machine(cluster, member)
     cluster.add("new")
     loop.pass_time(SETTLED_S)
-    assert voting(cluster) == sorted({*MEMBERS, "new"} - {member})
-    lose(cluster, next(m for m in MEMBERS if m != member))
+    assert voter_ids(cluster) == sorted({*MEMBERS, "new"} - {member})
+    lose_machine(cluster, next(m for m in MEMBERS if m != member))
     loop.pass_time(SETTLED_S)
     assert accepted(cluster, "after")
     assert "before" in [value for _, value in cluster.machines["new"].applied]
 
 
-def test_a_planned_replacement_leaves_three(cluster, loop):
+def test_planned_replacement_leaves_three_voters(cluster, loop):
     cluster.add("new")
     loop.pass_time(SETTLED_S)
-    assert voting(cluster) == ["a", "b", "c", "new"]
+    assert voter_ids(cluster) == ["a", "b", "c", "new"]
     leader = next(m for m, r in cluster.replicas.items() if r.is_leader)
-    lose(cluster, leader)
+    lose_machine(cluster, leader)
     loop.pass_time(SETTLED_S)
-    assert len(voting(cluster)) == 3
-    assert leader not in voting(cluster)
+    assert len(voter_ids(cluster)) == 3
+    assert leader not in voter_ids(cluster)
     assert accepted(cluster, "after")
 
 
-def test_a_dropped_member_that_returns_is_taken_back(cluster, loop):
+def test_dropped_member_rejoins_after_its_return(cluster, loop):
     cluster.add("new")
     loop.pass_time(SETTLED_S)
-    away = next(m for m in MEMBERS if not cluster.replicas[m].is_leader)
-    cluster.crash(away)
+    absent = next(m for m in MEMBERS if not cluster.replicas[m].is_leader)
+    cluster.crash(absent)
     loop.pass_time(SETTLED_S)
-    assert away not in voting(cluster)
-    cluster.start(away)
+    assert absent not in voter_ids(cluster)
+    cluster.start(absent)
     loop.pass_time(SETTLED_S)
-    assert away in voting(cluster)
+    assert absent in voter_ids(cluster)
 
 
-def test_a_silent_member_of_three_is_kept(cluster, loop):
-    """Nobody replaced it, and its disk may hold what was accepted."""
-    away = next(m for m in MEMBERS if not cluster.replicas[m].is_leader)
-    cluster.crash(away)
+def test_silent_member_of_three_is_kept(cluster, loop):
+    """It was not replaced, and its disk may hold accepted writes."""
+    absent = next(m for m in MEMBERS if not cluster.replicas[m].is_leader)
+    cluster.crash(absent)
     loop.pass_time(3 * SETTLED_S)
-    assert voting(cluster) == ["a", "b", "c"]
+    assert voter_ids(cluster) == ["a", "b", "c"]
     assert accepted(cluster, "by two")
 
 
-def test_two_more_than_the_first_members_all_count(cluster, loop):
+def test_two_added_members_become_voters(cluster, loop):
     cluster.add("d")
     cluster.add("e")
     loop.pass_time(SETTLED_S)
-    assert voting(cluster) == ["a", "b", "c", "d", "e"]
+    assert voter_ids(cluster) == ["a", "b", "c", "d", "e"]
     for member in ("a", "d"):
-        lose(cluster, member)
+        lose_machine(cluster, member)
     loop.pass_time(SETTLED_S)
     assert accepted(cluster, "by three")
 
 
-def test_a_leader_with_a_full_disk_gives_way(cluster, loop):
+def test_leader_with_full_disk_steps_down(cluster, loop):
     leader = next(m for m, r in cluster.replicas.items() if r.is_leader)
     cluster.disks[leader].full = True
     assert isinstance(cluster.write("refused"), DiskFailed)
@@ -98,8 +98,8 @@
     assert values == ["by the others", "later"]
 
 
-def test_a_disk_that_was_full_is_readable_afterwards(cluster, loop):
-    """A torn entry must not stand before later ones."""
+def test_log_is_readable_after_disk_was_full(cluster, loop):
+    """A torn entry must not be followed by later ones."""
     follower = next(m for m, r in cluster.replicas.items() if not r.is_leader)
     cluster.disks[follower].full = True
     assert accepted(cluster, "by two")
@@ -116,11 +116,11 @@
 
 
 @pytest.mark.parametrize("emptied", [False, True])
-def test_whoever_knows_only_first_members_joins_a_later_leader(
+def test_replica_that_knows_only_first_members_joins_later_leader(
     cluster, loop, emptied
 ):
-    """A replacement asked the first members for ever and was never taken in."""
-    lose(cluster, "a")
+    """A replacement asked only the initial members and never joined."""
+    lose_machine(cluster, "a")
     cluster.add("new")
     loop.pass_time(SETTLED_S)
     while not cluster.replicas["new"].is_leader:
@@ -139,8 +139,8 @@
     assert cluster.is_voting(joining)
 
 
-def test_a_new_voter_that_has_not_heard_of_it_gives_its_vote(cluster, loop):
-    """Three of four were left, one of them still a learner by its own log."""
+def test_voter_that_missed_its_promotion_grants_vote(cluster, loop):
+    """Three of four remained, one of them a learner by its own log."""
     leader = cluster.leader()
     promote = leader._append_config
 
@@ -152,16 +152,14 @@
     cluster.add("new")
     loop.pass_time(1.0)
     assert cluster.is_voting("new")
-    lose(cluster, leader.leader_id)
+    lose_machine(cluster, leader.leader_id)
     cluster.network.cuts.clear()
     loop.pass_time(SETTLED_S)
     assert accepted(cluster, "by three")
 
 
-def test_an_emptied_voter_is_elected_by_one_that_still_lists_its_former_disk(
-    cluster, loop
-):
-    """Three of five were left, and only the emptied one had the newest log."""
+def test_emptied_voter_is_elected_by_voter_with_old_member_list(cluster, loop):
+    """Three of five remained; only the emptied one had the newest log."""
     cluster.add("d")
     cluster.add("e")
     loop.pass_time(SETTLED_S)
@@ -180,15 +178,15 @@
     cuts |= {(leader.address, address_of(other)) for other in others}
     loop.run(cluster.propose_briefly(leader, "newest"))
     loop.pass_time(0.1)
-    lose(cluster, leader.leader_id)
-    lose(cluster, others[0])
+    lose_machine(cluster, leader.leader_id)
+    lose_machine(cluster, others[0])
     cuts.clear()
     loop.pass_time(SETTLED_S)
     assert accepted(cluster, "by three")
 
 
-def test_two_that_join_at_once_are_taken_in_one_after_the_other(cluster, loop):
-    """Each list was made from the same one, so the second undid the first."""
+def test_concurrent_joins_are_accepted_one_at_a_time(cluster, loop):
+    """Both changes began from the same list, so the second undid the first."""
     leader = cluster.leader()
     requests = [
         consensus_pb2.JoinRequest(
--- a/damaskcroft/consensus/tests/test_power_loss.py
+++ b/damaskcroft/consensus/tests/test_power_loss.py
@@ -1,4 +1,4 @@
-"""Nothing that was accepted is gone after losses of power and of disks."""
+"""No accepted write is lost after losses of power and of disks."""
 
 import asyncio
 import random
@@ -12,22 +12,22 @@
     LogDamagedError,
 )
 from damaskcroft.consensus.tests.fakes import MAX_SYNC_S, MEMBERS
-from damaskcroft.consensus.tests.power import PowerCluster
+from damaskcroft.consensus.tests.power_loss import PowerCluster
 
 WRITERS = 3
 ROUNDS = 3
-# Elections, joins, drops of silent members and all retries between them.
+# Covers elections, joins, removal of silent members and retries in between.
 SETTLED_S = 12.0
 STEP_S = 0.05
 MAX_SYNCS = 60
 MAX_COMPACTIONS = 6
-# Of losses, those that are followed by another before all is repaired.
-AGAIN_SHARE = 0.3
+# Share of power losses followed by another before the cluster is repaired.
+REPEATED_LOSS_SHARE = 0.3
 SEEDS = range(10)
 
 
-class Day:
-    """Writers without a pause, disturbances, and losses of power."""
+class PowerLossScenario:
+    """Runs writers without a pause, with disturbances and power losses."""
 
     def __init__(self, loop, folders, seed):
         self.loop = loop
@@ -37,7 +37,7 @@
         self.accepted = {}
         self.written = 0
         self.added = 0
-        self.is_quiet = False
+        self.are_writes_paused = False
         self.loop.pass_time(2.0)
         self.writers = [loop.create_task(self.write()) for _ in range(WRITERS)]
 
@@ -46,7 +46,11 @@
             self.written += 1
             value = f"v{self.written}"
             leader = self.cluster.leader()
-            if leader is None or self.is_quiet or self.cluster.is_dark:
+            if (
+                leader is None
+                or self.are_writes_paused
+                or self.cluster.has_lost_power
+            ):
                 await asyncio.sleep(STEP_S)
                 continue
             try:
@@ -59,42 +63,46 @@
                 self.accepted[outcome.index] = value
             await asyncio.sleep(self.rng.random() * MAX_SYNC_S)
 
-    def all(self):
+    def member_ids(self):
         return sorted(self.cluster.replicas)
 
     def follower(self):
         return self.rng.choice(
-            [m for m in self.all() if not self.cluster.replicas[m].is_leader]
+            [
+                m
+                for m in self.member_ids()
+                if not self.cluster.replicas[m].is_leader
+            ]
         )
 
-    # --- Disturbances; each tells of which members one may lose its disk ----
+    # --- Disturbances; each returns members of which one may lose its disk -
 
-    def calm(self):
-        return self.all()
+    def no_disturbance(self):
+        return self.member_ids()
 
-    def leader_killed(self):
+    def kill_leader(self):
         leader = self.cluster.leader()
         if leader is not None:
             self.restart([leader.leader_id])
         self.loop.pass_time(self.rng.random() * 1.5)
-        return self.all()
+        return self.member_ids()
 
-    def all_killed(self):
-        self.restart(self.all())
+    def kill_all(self):
+        self.restart(self.member_ids())
         self.loop.pass_time(self.rng.random() * 2.0)
-        return self.all()
+        return self.member_ids()
 
-    def follower_killed(self):
+    def kill_follower(self):
         self.restart([self.follower()])
-        return self.all()
+        return self.member_ids()
 
-    def killed_then_quiet(self):
-        """What they had written is never followed by another write."""
+    def kill_followers_and_pause_writes(self):
+        """Restarts the followers, with no write after their last entries."""
         leader = self.cluster.leader()
-        self.is_quiet = True
+        self.are_writes_paused = True
         if leader is None:
-            return self.all()
-        self.restart(m for m in self.all() if m != leader.leader_id)
+            return self.member_ids()
+        self.restart(m for m in self.member_ids() if m != leader.leader_id)
         self.loop.pass_time(self.rng.random() / 2)
         return [leader.leader_id]
 
@@ -105,50 +113,53 @@
         for member in members:
             self.cluster.start(member)
 
-    def follower_far_behind(self):
-        """Back just now: it gets a snapshot."""
+    def restart_lagging_follower(self):
+        """Restarts a follower that needs a snapshot."""
         member = self.follower()
         self.cluster.crash(member)
         self.loop.pass_time(2.0)
         self.cluster.start(member)
         self.loop.pass_time(self.rng.random())
-        return self.all()
+        return self.member_ids()
+
+    def cut_off_leader(self):
+        """Cuts off a leader, whose log then ends in entries only it holds.
 
-    def old_leader_far_behind(self):
-        """Its log has entries that nobody else holds, then a snapshot."""
+        It needs a snapshot afterwards.
+        """
         leader = self.cluster.leader()
         if leader is None:
-            return self.all()
+            return self.member_ids()
         for replica in self.cluster.replicas.values():
             pair = (leader.address, replica.address)
             self.cluster.network.cuts |= {pair, pair[::-1]}
         self.loop.pass_time(3.0)
         self.cluster.network.cuts.clear()
         self.loop.pass_time(self.rng.random())
-        return self.all()
+        return self.member_ids()
 
-    def disk_refuses(self):
-        """Some syncs, also those of names, until the power goes."""
-        self.cluster.refusing = self.rng.choice(self.all())
+    def refuse_syncs(self):
+        """Lets a disk refuse some syncs, also of names."""
+        self.cluster.refusing_member = self.rng.choice(self.member_ids())
         self.loop.pass_time(self.rng.random() * 3.0)
-        return self.all()
+        return self.member_ids()
 
-    def replaced(self):
-        """One is gone, another comes; it counts after a while, or not yet."""
-        # Newcomers know the first members only, so one of these stays.
-        first = [m for m in self.all() if m in MEMBERS]
+    def replace_member(self):
+        """Replaces a member; the new one may not be a voter yet."""
+        # An added member knows only the initial members, so one of them stays.
+        first = [m for m in self.member_ids() if m in MEMBERS]
         gone = self.rng.choice(
-            [m for m in self.all() if first != [m]],
+            [m for m in self.member_ids() if first != [m]],
         )
         self.cluster.remove(gone)
         self.add()
         self.loop.pass_time(self.rng.choice([0.0, 0.3, 1.0, 2.0, 6.0]))
-        return self.all() if self.is_repaired() else []
+        return self.member_ids() if self.is_repaired() else []
 
-    def added_first(self):
+    def add_member(self):
         self.add()
         self.loop.pass_time(self.rng.random())
-        return self.all()
+        return self.member_ids()
 
     def add(self):
         self.added += 1
@@ -164,28 +175,28 @@
             return False
         return len(here) - 1 > len(voters) // 2
 
-    # --- One loss ----------------------------------------------------------
+    # --- One power loss ------------------------------------------------------
 
     def lose_power(self):
         disturbance = self.rng.choice(
             [
-                self.calm, self.leader_killed, self.all_killed,
-                self.follower_killed, self.follower_far_behind,
-                self.old_leader_far_behind, self.replaced, self.added_first,
-                self.killed_then_quiet, self.disk_refuses,
+                self.no_disturbance, self.kill_leader, self.kill_all,
+                self.kill_follower, self.restart_lagging_follower,
+                self.cut_off_leader, self.replace_member, self.add_member,
+                self.kill_followers_and_pause_writes, self.refuse_syncs,
             ]
         )  # fmt: skip
         candidates = disturbance()
         wiped = {self.rng.choice(candidates)} if candidates else set()
         name = self.rng.choice([None, "log", "log.new"])
-        most = MAX_COMPACTIONS if name == "log.new" else MAX_SYNCS
-        self.cluster.lose_power(self.rng.randrange(most), wiped, name)
-        if self.is_quiet:
-            self.cluster.go_dark(kept_share=0.0)
-        self.dark_and_back(disturbance, wiped)
-        if self.rng.random() < AGAIN_SHARE:
+        max_syncs = MAX_COMPACTIONS if name == "log.new" else MAX_SYNCS
+        self.cluster.lose_power(self.rng.randrange(max_syncs), wiped, name)
+        if self.are_writes_paused:
+            self.cluster.cut_power(kept_share=0.0)
+        self.lose_and_restore_power(disturbance, wiped)
+        if self.rng.random() < REPEATED_LOSS_SHARE:
             self.cluster.lose_power(self.rng.randrange(MAX_SYNCS), set())
-            self.dark_and_back(disturbance, wiped)
+            self.lose_and_restore_power(disturbance, wiped)
         before = len(self.accepted)
         self.wait_for(
             lambda: len(self.accepted) > before + 2, disturbance, wiped
@@ -193,21 +204,21 @@
         self.wait_for(self.is_repaired, disturbance, wiped)
         self.check()
 
-    def dark_and_back(self, *context):
-        self.wait_for(lambda: self.cluster.is_dark, *context)
-        self.is_quiet = False
+    def lose_and_restore_power(self, *context):
+        self.wait_for(lambda: self.cluster.has_lost_power, *context)
+        self.are_writes_paused = False
         self.loop.pass_time(self.rng.random())
-        self.cluster.power_up()
+        self.cluster.restore_power()
 
-    def wait_for(self, is_so, *context):
+    def wait_for(self, condition, *context):
         for _ in range(round(SETTLED_S / STEP_S)):
-            if is_so():
+            if condition():
                 return
             self.loop.pass_time(STEP_S)
-            self.look_at_writers()
+            self.raise_writer_errors()
         raise AssertionError(f"not within {SETTLED_S} s: {context}")
 
-    def look_at_writers(self):
+    def raise_writer_errors(self):
         for writer in self.writers:
             if writer.done():
                 writer.result()
@@ -224,7 +235,7 @@
         self.cluster.stop()
 
     def end(self):
-        self.is_quiet = True
+        self.are_writes_paused = True
         self.loop.pass_time(3.0)
         lists = [
             self.cluster.machines[member].applied
@@ -235,18 +246,18 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_nothing_accepted_is_lost_with_one_disk_and_all_power(
+def test_no_accepted_write_is_lost_with_one_disk_and_all_power(
     loop, folders, seed
 ):
-    """Changes were lost, or nobody was ever elected, after some such losses."""
-    play(loop, folders, seed)
+    """After some power losses, changes were lost or no leader was elected."""
+    run_scenario(loop, folders, seed)
 
 
-async def not_synced(log):
+async def skip_sync(log):
     log.synced_index = log.last_index
 
 
-def taken_for_synced(log, disk, read=DurableLog.__init__):
+def assume_synced(log, disk, read=DurableLog.__init__):
     read(log, disk)
     log.synced_index = log.last_index
 
@@ -254,27 +265,27 @@
 @pytest.mark.parametrize(
     "owner, name, fault",
     [
-        (DurableLog, "sync", not_synced),
-        (DurableLog, "__init__", taken_for_synced),
-        (FolderDisk, "_sync_folder", lambda disk: None),
+        (DurableLog, "sync", skip_sync),
+        (DurableLog, "__init__", assume_synced),
+        (FolderDisk, "_sync_folder_names", lambda disk: None),
     ],
     ids=["entries", "entries of a killed process", "names"],
 )
-def test_these_losses_show_what_is_not_synced(
+def test_scenario_detects_missing_syncs(
     loop, folders, monkeypatch, owner, name, fault
 ):
-    """The check above could pass whatever a replica leaves unsynced."""
+    """Shows that the test above fails if replicas leave data unsynced."""
     monkeypatch.setattr(owner, name, fault)
     with pytest.raises((AssertionError, LogDamagedError)):
         for seed in SEEDS:
-            play(loop, folders, seed)
+            run_scenario(loop, folders, seed)
 
 
-def play(loop, folders, seed):
-    day = Day(loop, folders, seed)
+def run_scenario(loop, folders, seed):
+    scenario = PowerLossScenario(loop, folders, seed)
     try:
         for _ in range(ROUNDS):
-            day.lose_power()
-        day.end()
+            scenario.lose_power()
+        scenario.end()
     finally:
-        day.stop()
+        scenario.stop()
