--- a/damaskcroft/membership/_holders.py
+++ b/damaskcroft/membership/_holders.py
@@ -1,4 +1,4 @@
-"""Announcements as committed: one part of the replicated state."""
+"""The committed announcements, which are part of the replicated state."""
 
 from collections.abc import Iterable
 
@@ -6,7 +6,7 @@
 
 
 class HolderTable:
-    """The last announcement of every holder, by id."""
+    """The latest announcement of each holder, by id."""
 
     __slots__ = ("holders_by_id", "revision")
 
@@ -18,7 +18,7 @@
     def apply(
         self, index: int, announcement: control_pb2.Announcement
     ) -> control_pb2.Announcement:
-        """Records one committed announcement; gives it with its revision."""
+        """Records a committed announcement; returns it with its revision."""
         stored = control_pb2.Announcement()
         stored.CopyFrom(announcement)
         stored.revision = index
@@ -27,11 +27,11 @@
         return stored
 
     def changed_since(self, revision: int) -> list[control_pb2.Announcement]:
-        """Announcements committed after a revision."""
+        """Returns the announcements committed after a revision."""
         return [h for h in self.holders_by_id.values() if h.revision > revision]
 
     def restore(self, holders: Iterable[control_pb2.Announcement]) -> None:
-        """Replaces the content by a snapshot's."""
+        """Replaces the table by that of a snapshot."""
         self.holders_by_id = {h.id: h for h in holders}
         revisions = [h.revision for h in self.holders_by_id.values()]
         self.revision = max(revisions, default=0)
--- a/damaskcroft/membership/_reports.py
+++ b/damaskcroft/membership/_reports.py
@@ -1,4 +1,4 @@
-"""Words for what holders report of themselves."""
+"""Text form of enum values in holders' reports."""
 
 from damaskcroft._generated import control_pb2
 
@@ -6,5 +6,8 @@
 
 
 def held_up_word(reason: control_pb2.HeldUpBy) -> str:
-    """The fixed word for what holds an order up, as `target_unreachable`."""
+    """Returns why an order is held up, such as `target_unreachable`.
+
+    Logs and metrics use this form.
+    """
     return control_pb2.HeldUpBy.Name(reason).removeprefix("HELD_UP_").lower()
--- a/damaskcroft/membership/_roster.py
+++ b/damaskcroft/membership/_roster.py
@@ -1,7 +1,7 @@
 """A holder's copy of the configuration, kept current by deltas.
 
-The applied revision never goes down: a delta that ends before it is dropped,
-whoever sent it.
+The applied revision never decreases: a delta that ends before it is dropped,
+whichever control node sent it.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 
 
 class Roster:
-    """Records, assignments, holders and reports as last told by control."""
+    """Records, assignments, holders and reports as last sent by control."""
 
     def __init__(self) -> None:
         """Creates an empty roster at revision 0."""
@@ -26,14 +26,14 @@
 
     @property
     def has_view(self) -> bool:
-        """Whether control has told anything yet; its first word is whole."""
+        """Whether any delta was received; the first one has the whole state."""
         return self.revision > 0
 
     def apply(self, delta: control_pb2.RosterDelta) -> bool:
         """Applies a delta.
 
         Returns:
-            Whether it was applied; False for one from the past.
+            Whether it was applied; False if it ends before `revision`.
         """
         if delta.to_revision < self.revision:
             return False
@@ -45,7 +45,7 @@
         for record in delta.records:
             self.records_by_key[(record.kind, record.name)] = record
         for assignment in delta.assignments:
-            self._assign(assignment)
+            self._apply_assignment(assignment)
         for holder in delta.holders:
             self.holders_by_id[holder.id] = holder
         for report in delta.reports:
@@ -57,12 +57,12 @@
         return True
 
     async def notify(self) -> None:
-        """Wakes all who wait on `changed`."""
+        """Wakes all tasks that wait on `changed`."""
         async with self.changed:
             self.changed.notify_all()
 
     def live_agents(self) -> list[control_pb2.Announcement]:
-        """Agents that hold a lease as far as control has told."""
+        """Returns the agents that hold a lease, as far as is known here."""
         return [
             holder
             for holder in self.holders_by_id.values()
@@ -71,7 +71,7 @@
         ]
 
     def live_entries(self) -> int:
-        """How many entries hold a lease; at least 1."""
+        """Returns the number of entries that hold a lease, at least 1."""
         entries = [
             holder
             for holder in self.holders_by_id.values()
@@ -80,7 +80,7 @@
         ]
         return max(1, len(entries))
 
-    def _assign(self, assignment: control_pb2.Assignment) -> None:
+    def _apply_assignment(self, assignment: control_pb2.Assignment) -> None:
         held = self.assignments_by_target.get(assignment.target)
         if held is not None and held.fencing > assignment.fencing:
             return
--- a/damaskcroft/membership/tests/test_client.py
+++ b/damaskcroft/membership/tests/test_client.py
@@ -1,8 +1,8 @@
-"""A holder finds the leader again, whatever the first address does.
+"""A holder finds the leader even if the first control node does not respond.
 
-What was found while known failure 2 was looked for: connecting to a control
-node had no bound. A frozen node accepts connections and then says nothing; a
-TLS handshake with it is given up after a minute, and the lease runs out.
+Connecting to a control node once had no time limit. A frozen node accepts
+connections and then sends nothing; a TLS handshake with it times out after a
+minute, by which time the lease has expired.
 """
 
 import asyncio
@@ -13,27 +13,27 @@
 from damaskcroft._generated import control_grpc, control_pb2
 from damaskcroft.membership import LeaseClient
 
-RENEW_S = 0.5
+RENEW_EVERY_S = 0.5
 
 
 class SilentChannel(Channel):
-    """A channel to a process that accepts connections and does nothing."""
+    """A channel to a process that accepts connections and never replies."""
 
     async def __connect__(self):
         await asyncio.sleep(1e6)
 
 
-class Leader(control_grpc.ControlBase):
-    """Grants each renewal; may end each stream after some grants."""
+class FakeLeader(control_grpc.ControlBase):
+    """Grants each renewal; ends each stream after a number of grants."""
 
-    def __init__(self, grants_a_stream=10**6):
-        self.grants_a_stream = grants_a_stream
+    def __init__(self, max_grants_per_stream=10**6):
+        self.max_grants_per_stream = max_grants_per_stream
         self.granted_revisions = []
 
     async def Hold(self, stream):  # noqa: N802
-        hello = await stream.recv_message()
-        self.granted_revisions.append(hello.granted_revision)
-        for _ in range(self.grants_a_stream):
+        first_message = await stream.recv_message()
+        self.granted_revisions.append(first_message.granted_revision)
+        for _ in range(self.max_grants_per_stream):
             message = await stream.recv_message()
             if message is None:
                 return
@@ -53,7 +53,7 @@
     async def Settle(self, stream): ...  # noqa: N802
 
 
-class Pool:
+class FakePool:
     def __init__(self, channels_by_address):
         self.channels_by_address = channels_by_address
 
@@ -61,15 +61,15 @@
         return self.channels_by_address[address]
 
 
-def test_the_next_node_is_asked_after_one_that_says_nothing(loop):
+def test_client_connects_to_next_node_if_first_is_silent(loop):
     async def scenario():
-        async with ChannelFor([Leader()]) as leader:
-            pool = Pool({"a": SilentChannel("127.0.0.1", 1), "b": leader})
+        async with ChannelFor([FakeLeader()]) as leader:
+            pool = FakePool({"a": SilentChannel("127.0.0.1", 1), "b": leader})
             client = LeaseClient(
                 control_pb2.Announcement(id="agent-0", incarnation="one"),
                 ["a", "b"],
                 pool,
-                RENEW_S,
+                RENEW_EVERY_S,
                 lambda: control_pb2.TargetReport(),
             )
             running = asyncio.ensure_future(client.run())
@@ -82,15 +82,15 @@
     assert loop.run(scenario())
 
 
-def test_a_holder_tells_the_next_leader_what_it_was_granted(loop):
+def test_holder_sends_granted_revision_to_next_leader(loop):
     async def scenario():
-        leader = Leader(grants_a_stream=2)
+        leader = FakeLeader(max_grants_per_stream=2)
         async with ChannelFor([leader]) as channel:
             client = LeaseClient(
                 control_pb2.Announcement(id="agent-0", incarnation="one"),
                 ["a"],
-                Pool({"a": channel}),
-                RENEW_S,
+                FakePool({"a": channel}),
+                RENEW_EVERY_S,
                 lambda: control_pb2.TargetReport(),
             )
             running = asyncio.ensure_future(client.run())
--- a/damaskcroft/membership/tests/test_crashes.py
+++ b/damaskcroft/membership/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""How one entry's word of a crash reaches the others through the leader."""
+"""Crash reports of one entry reach the others through the leader."""
 
 import pytest
 
@@ -24,7 +24,7 @@
     return loop.run(made())
 
 
-def test_two_entries_words_make_three_for_whoever_asks(loop, ledger):
+def test_crash_reports_of_two_entries_are_combined(loop, ledger):
     async def scenario():
         ledger.renew("e1", "a", renewal("t1", "t2"))
         before = ledger.sequence
@@ -39,7 +39,7 @@
     loop.run(scenario())
 
 
-def test_what_is_known_is_not_told_again(loop, ledger):
+def test_known_crashes_are_not_sent_again(loop, ledger):
     async def scenario():
         ledger.renew("e1", "a", renewal("t1"))
         before = ledger.sequence
@@ -49,7 +49,7 @@
     loop.run(scenario())
 
 
-def test_a_new_leader_keeps_what_it_knew(loop, ledger):
+def test_crashes_are_kept_in_a_new_term(loop, ledger):
     async def scenario():
         ledger.renew("e1", "a", renewal("t1", "t2", "t3"))
         ledger.lead(2)
