--- a/damaskcroft/control/__init__.py
+++ b/damaskcroft/control/__init__.py
@@ -1,4 +1,4 @@
-"""Control: the replicated log's users, and who may ask what of them."""
+"""Control nodes: replicated state machines and their gRPC services."""
 
 from damaskcroft.control._fleet_control import (
     Accepted,
--- a/damaskcroft/control/_fleet_control.py
+++ b/damaskcroft/control/_fleet_control.py
@@ -1,4 +1,4 @@
-"""What operators and targets may ask of a control node of a fleet."""
+"""Operations of a fleet's control node for operators and targets."""
 
 import asyncio
 import dataclasses
@@ -20,22 +20,23 @@
 
 __all__ = ["Accepted", "FleetControl", "Invalid", "Unavailable"]
 
-# Operators turn to another node after a second without an answer.
+# Operators retry at another node after a second without an answer.
 _COMMIT_TIMEOUT_S = 0.9
 _READ_TIMEOUT_S = 0.8
 _APPLY_POLL_S = 0.005
-# Most elections are over after so long without a leader; a node that hears
-# none for longer refuses at once, since another node may hear one.
-_ELECTION_S = 2.0
+# Most elections end within this time. A node that has been without a leader for
+# longer refuses at once, because another node may be in touch with one.
+_MAX_LEADERLESS_S = 2.0
 _ELECTION_POLL_S = 0.03
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """It holds, durably, on a majority.
+    """The change is durable on a majority.
 
     Attributes:
-        version: the version in place, which may be a higher one.
+        version: the version in force, which may be higher than the requested
+            one.
     """
 
     version: int
@@ -43,28 +44,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Invalid:
-    """It makes no sense and changed nothing."""
+    """The change failed validation and was not applied."""
 
     fault: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unavailable:
-    """This node can't say now; another one, or a later try, may.
+    """This node cannot answer now; another node or a later attempt may.
 
     Attributes:
-        reason: one of a few fixed texts.
-        detail: what of it differs from case to case.
-        is_not_taken: whether it is sure that nothing came of a change.
+        reason: one of a few fixed texts, used as a metric label.
+        detail: the variable part of the reason.
+        is_not_committed: whether it is certain that the change will not be
+            committed.
     """
 
     reason: str
     detail: str = ""
-    is_not_taken: bool = False
+    is_not_committed: bool = False
 
 
 class FleetControl:
-    """One control node's operations."""
+    """Operations of one control node."""
 
     def __init__(
         self,
@@ -73,15 +75,19 @@
         view: FleetView,
         channels: ChannelPool,
     ):
-        """Works on a replica, the state that it drives, and the targets."""
+        """Commits to `replica`, whose log drives `state`.
+
+        Announcements of targets go into `view`; `channels` leads to other
+        control nodes.
+        """
         self._replica = replica
         self._state = state
         self._view = view
         self._channels = channels
-        state.listen(self._name_services)
+        state.listen(self._update_service_names)
 
-    def _name_services(self) -> None:
-        """Lets targets count whose services the configuration names."""
+    def _update_service_names(self) -> None:
+        """Restricts the view to targets of configured services."""
         configuration = self._state.configuration
         if configuration is not None:
             self._view.name_services(s.name for s in configuration.services)
@@ -91,7 +97,7 @@
     async def configure(
         self, configuration: fleet_pb2.Configuration
     ) -> Accepted | Invalid | Unavailable:
-        """Puts a configuration in force unless a higher one is."""
+        """Commits a configuration unless its version is already reached."""
         fault = next(configuration_faults(configuration), None)
         if fault is not None:
             log_event(
@@ -103,8 +109,8 @@
         if configuration.version <= self._state.version:
             return Accepted(self._state.version)
         command = fleet_pb2.FleetCommand(configure=configuration)
-        # Written out it is as large as all else together, ten times smaller
-        # this way; links between regions are narrow.
+        # Uncompressed, the source is as large as the rest of the command;
+        # compressed, a tenth of that. Links between regions are narrow.
         command.configure.source = zlib.compress(configuration.source)
         outcome = await self.commit(command)
         log_event(
@@ -117,28 +123,28 @@
         return outcome
 
     async def name_weights(
-        self, goal: fleet_pb2.WeightGoal
+        self, desired: fleet_pb2.WeightGoal
     ) -> Accepted | Invalid | Unavailable:
-        """Names the version of weights that a model should serve."""
-        if goal.version < 1 or not goal.model:
+        """Sets the desired version of a model's weights."""
+        if desired.version < 1 or not desired.model:
             return Invalid("no model, or a version below 1")
-        if goal.version <= self._state.weights_version(goal.model):
-            return Accepted(self._state.weights_version(goal.model))
-        command = fleet_pb2.FleetCommand(name_weights=goal)
+        if desired.version <= self._state.desired_version(desired.model):
+            return Accepted(self._state.desired_version(desired.model))
+        command = fleet_pb2.FleetCommand(name_weights=desired)
         outcome = await self.commit(command)
         log_event(
             "weights_put",
-            model=goal.model,
-            version=goal.version,
+            model=desired.model,
+            version=desired.version,
             outcome=type(outcome).__name__,
         )
         return outcome
 
     async def read(self) -> bytes | Unavailable:
-        """The newest acknowledged configuration, as its operator wrote it."""
+        """Returns the newest acknowledged configuration, as it was written."""
         outcome = await self._read()
         if isinstance(outcome, Unavailable):
-            self._note_refusal("read", outcome)
+            self._record_refusal("read", outcome)
         return outcome
 
     async def _read(self) -> bytes | Unavailable:
@@ -146,7 +152,7 @@
         try:
             async with asyncio.timeout(_READ_TIMEOUT_S):
                 while (index := await self._read_index()) is None:
-                    if not self._may_hear_leader():
+                    if not self._may_find_leader():
                         return Unavailable("no majority confirms the leader")
                     await asyncio.sleep(_ELECTION_POLL_S)
                 while self._replica.applied_index < index:
@@ -162,7 +168,7 @@
             return Unavailable("no configuration yet")
         return zlib.decompress(configuration.source)
 
-    def _note_refusal(self, call: str, refusal: Unavailable) -> None:
+    def _record_refusal(self, call: str, refusal: Unavailable) -> None:
         metrics.CONTROL_REFUSALS.labels(call, refusal.reason).inc()
         log_event(
             "control_refused",
@@ -176,40 +182,43 @@
     # --- Targets -------------------------------------------------------------
 
     async def announce(
-        self, target_id: str, word: fleet_pb2.TargetState | Unusable
+        self, target_id: str, announcement: fleet_pb2.TargetState | Unusable
     ) -> bool | Unusable:
-        """Takes a target's word; whether it may count as taken.
+        """Processes an announcement of a target.
+
+        An invalid announcement changes nothing.
 
-        That a target is leaving counts once a majority of control nodes
-        knows, so that every entry in touch hears of it. What no target can
-        have said changes nothing.
+        Returns:
+            Whether the announcement is in effect. That a target leaves takes
+            effect once a majority of control nodes knows it, so that it
+            reaches every connected entry.
         """
-        state = checked(word)
+        state = checked(announcement)
         if isinstance(state, Unusable):
             note_unusable("announcement", target_id, state)
             return state
         if state.phase == fleet_pb2.TARGET_READY:
             self._view.take([state])
             return True
-        known = await self._tell_majority(state)
+        is_majority_informed = await self._relay_to_majority(state)
         log_event(
             "target_leaving",
             id=state.id,
             phase=fleet_pb2.TargetPhase.Name(state.phase),
             born_ms=state.born_ms,
-            majority_knows=known,
+            majority_knows=is_majority_informed,
         )
-        return known
+        return is_majority_informed
 
     async def leave(
         self, target_id: str, start: fleet_pb2.TargetState | Unusable
     ) -> bool | Unusable:
-        """Takes a target's last word; see `announce`.
+        """Processes the last announcement of a target; see `announce`.
 
         Args:
-            target_id: whose it is.
-            start: which start ends. Where it isn't told, that is the newest
-                one that this node knows.
+            target_id: the id of the target.
+            start: the start that ends. Without a time of birth it is taken to
+                be the newest start known to this node.
         """
         if isinstance(start, Unusable):
             note_unusable("leave", target_id, start)
@@ -218,26 +227,26 @@
             start.born_ms = self._view.book.newest_born_ms(target_id)
         return await self.announce(target_id, start)
 
-    async def _tell_majority(self, state: fleet_pb2.TargetState) -> bool:
+    async def _relay_to_majority(self, state: fleet_pb2.TargetState) -> bool:
         self._view.take([state])
         members = self._replica.member_addresses()
         others = [a for a in members if a != self._replica.address]
         request = fleet_pb2.RelayRequest(targets=[state])
-        told = await asyncio.gather(
+        acknowledged = await asyncio.gather(
             *(relay(self._channels, address, request) for address in others)
         )
-        counted = sum(told) + (self._replica.address in members)
-        return counted > len(members) // 2
+        informed_count = sum(acknowledged) + (self._replica.address in members)
+        return informed_count > len(members) // 2
 
     # --- The log ------------------------------------------------------------
 
     async def commit(
         self, command: fleet_pb2.FleetCommand
     ) -> Accepted | Unavailable:
-        """Commits a command here or at the leader."""
+        """Commits a command at this node if it leads, else at the leader."""
         outcome = await self._commit(command)
         if isinstance(outcome, Unavailable):
-            self._note_refusal(command.WhichOneof("kind") or "", outcome)
+            self._record_refusal(command.WhichOneof("kind") or "", outcome)
         return outcome
 
     async def _commit(
@@ -249,17 +258,20 @@
                     outcome = await self._commit_once(command)
                     if not isinstance(outcome, Unavailable):
                         return outcome
-                    if not outcome.is_not_taken or not self._may_hear_leader():
+                    if (
+                        not outcome.is_not_committed
+                        or not self._may_find_leader()
+                    ):
                         return outcome
                     await asyncio.sleep(_ELECTION_POLL_S)
         except TimeoutError:
             return Unavailable("not committed in time")
 
-    def _may_hear_leader(self) -> bool:
-        """Whether one may be elected while a caller waits."""
+    def _may_find_leader(self) -> bool:
+        """Whether a leader may be elected while the caller waits."""
         if self._replica.has_stopped:
             return False
-        return self._replica.silent_s < _ELECTION_S
+        return self._replica.silent_s < _MAX_LEADERLESS_S
 
     async def _commit_once(
         self, command: fleet_pb2.FleetCommand
@@ -271,16 +283,18 @@
     async def commit_here(
         self, command: fleet_pb2.FleetCommand
     ) -> Accepted | Unavailable:
-        """Commits a command as the leader."""
+        """Proposes a command to the replica of this node, which must lead."""
         outcome = await self._replica.propose(command.SerializeToString())
         match outcome:
             case Committed(result=result):
                 if result.changed and command.HasField("name_weights"):
-                    goal = command.name_weights
-                    self._state.goal_times.accept(goal.model, goal.version)
+                    desired = command.name_weights
+                    self._state.version_times.mark_accepted(
+                        desired.model, desired.version
+                    )
                 return Accepted(result.version)
             case NotLeader():
-                return Unavailable("not the leader", is_not_taken=True)
+                return Unavailable("not the leader", is_not_committed=True)
             case DiskFailed(reason=reason):
                 return Unavailable("the leader's disk failed", reason)
         return Unavailable("not known to be committed")
@@ -290,25 +304,30 @@
     ) -> Accepted | Unavailable:
         address = self._replica.leader_address
         if not address:
-            return Unavailable("no leader known", is_not_taken=True)
+            return Unavailable("no leader known", is_not_committed=True)
         stub = fleet_grpc.FleetStub(self._channels.channel(address))
         request = fleet_pb2.ForwardRequest(command=command)
         try:
-            # Not by the library's timeout, which may end in the same step as
-            # the caller's and then looks like a cancellation.
+            # The library's own timeout may expire in the same event-loop
+            # step as the caller's and then looks like a cancellation.
             reply = await called(stub.Forward(request), _COMMIT_TIMEOUT_S)
         except ConnectionRefusedError as error:
-            return Unavailable("leader gone", repr(error), is_not_taken=True)
+            return Unavailable(
+                "leader gone", repr(error), is_not_committed=True
+            )
         except CALL_ERRORS as error:
             return Unavailable("leader unreachable", f"{address}: {error!r}")
         if reply.not_taken:
-            return Unavailable("not the leader", address, is_not_taken=True)
+            return Unavailable("not the leader", address, is_not_committed=True)
         if not reply.committed:
             return Unavailable("not known to be committed")
         return Accepted(reply.version)
 
     async def confirmed_index(self) -> int | None:
-        """As the leader: an index that reads must have applied."""
+        """Confirms the leadership and returns the index that reads must apply.
+
+        None where a majority does not confirm this node as the leader.
+        """
         if not await self._replica.confirm_leader(_READ_TIMEOUT_S):
             return None
         return self._replica.commit_index
--- a/damaskcroft/control/_fleet_service.py
+++ b/damaskcroft/control/_fleet_service.py
@@ -1,4 +1,4 @@
-"""The gRPC face of a fleet's control node: watchers and other nodes."""
+"""gRPC service of a fleet's control node for watchers and other nodes."""
 
 import asyncio
 import collections
@@ -26,31 +26,34 @@
 
 __all__ = ["FleetService"]
 
-# Changes that come together go out together. A change after a quiet time goes
-# out at once; while many come, as when a version changes, each watcher gets
-# them at intervals, or updates would grow with targets x watchers. What takes a
-# target out doesn't wait: it is ordered to load a moment later.
-_GATHER_S = 0.005
-_INTERVAL_S = 0.05
-# Ended targets that a new watcher is told of, so that another node's late
-# word can't revive them for it.
-_MAX_ENDED_TOLD = 512
-# For this long a goal's age is told again: a watcher that was frozen, or whose
-# link lost packets, counts the age from when it read of it. Over twice the
-# bound for weights of any deployment, in seconds.
-_TOLD_AGAIN_S = 20.0
-# For this long after a start, what is applied may have been accepted long ago.
-_REPLAY_S = 3.0
+# Changes are sent to watchers in batches. A change after a quiet period is sent
+# at once. While many arrive, as during a change of version, each watcher gets
+# updates at intervals; otherwise the number of updates would grow with targets
+# times watchers. A change that takes a target out of service is not delayed,
+# because the target is ordered to load a moment later.
+_BATCH_DELAY_S = 0.005
+_MIN_UPDATE_INTERVAL_S = 0.05
+# How many ended targets are sent to a new watcher, so that a late announcement
+# from another node cannot make it take them for running.
+_MAX_ENDED_TARGETS_SENT = 512
+# While a desired version is younger than this, its age is sent repeatedly: a
+# watcher that was frozen, or whose link lost packets, counts the age from when
+# it read the update. More than twice the longest time within which any
+# deployment must switch its weights.
+_AGE_RESEND_S = 20.0
+# Entries applied this soon after a start may be replayed from the log; their
+# commands may have been accepted long before.
+_LOG_REPLAY_S = 3.0
 
 
 class _Watcher:
-    """What one watcher has not been told yet."""
+    """A watcher, and the changes that have not been sent to it."""
 
     __slots__ = (
         "agents_by_address",
         "crashed_starts",
-        "entries_told",
-        "hurry",
+        "sent_entries",
+        "urgent",
         "is_agent",
         "is_entry",
         "limited_starts",
@@ -61,19 +64,19 @@
     def __init__(self, *, is_entry: bool, is_agent: bool):
         self.is_entry = is_entry
         self.is_agent = is_agent
-        # By id and service: another writer may name a target's id beside a
-        # service of its own.
+        # By id and service, because another writer may announce the same
+        # target id for a service of its own.
         self.targets_by_key: dict[tuple[str, str], fleet_pb2.TargetState] = {}
         self.agents_by_address: dict[str, fleet_pb2.AgentState] = {}
-        # Each report tells the requests of one entry; what is sent is what
-        # this node has merged of them.
+        # Each report lists the requests of one entry. Only ids are kept here,
+        # because this node sends its merged reports.
         self.crashed_starts: set[str] = set()
         self.limited_starts: set[str] = set()
-        # The entries that it was told of; None before.
-        self.entries_told: frozenset[str] | None = None
+        # Entry names last sent to the watcher; None before the first time.
+        self.sent_entries: frozenset[str] | None = None
         self.wake = asyncio.Event()
-        # Set beside `wake` by news that can't wait.
-        self.hurry = asyncio.Event()
+        # Set in addition to `wake` by changes that must not be delayed.
+        self.urgent = asyncio.Event()
 
     def add(self, update: fleet_pb2.FleetUpdate) -> None:
         for state in update.targets:
@@ -83,12 +86,12 @@
         if not self.is_agent:
             self.crashed_starts.update(c.start_id for c in update.crashes)
             self.limited_starts.update(w.start_id for w in update.limits)
-        if _takes_out(update):
-            self.hurry.set()
+        if _withdraws_target(update):
+            self.urgent.set()
         self.wake.set()
 
-    def take(self, update: fleet_pb2.FleetUpdate, view: FleetView) -> None:
-        """Moves all that is new into an update."""
+    def move_to(self, update: fleet_pb2.FleetUpdate, view: FleetView) -> None:
+        """Moves all pending changes into an update."""
         update.targets.extend(self.targets_by_key.values())
         update.agents.extend(self.agents_by_address.values())
         update.crashes.extend(view.crashes.words_of(self.crashed_starts))
@@ -98,54 +101,58 @@
         self.targets_by_key.clear()
         self.agents_by_address.clear()
         self.wake.clear()
-        self.hurry.clear()
+        self.urgent.clear()
 
-    def take_entries(
+    def add_entry_changes(
         self, update: fleet_pb2.FleetUpdate, names: frozenset[str]
     ) -> None:
-        """Puts into an update which entries came and left; all at first."""
-        told = self.entries_told
-        if self.is_agent or names == told:
+        """Adds entries that joined and left; the first time, all of them."""
+        sent = self.sent_entries
+        if self.is_agent or names == sent:
             return
-        self.entries_told = names
-        update.entry_names.whole = told is None
-        update.entry_names.joined.extend(names - (told or frozenset()))
-        update.entry_names.left.extend((told or frozenset()) - names)
+        self.sent_entries = names
+        update.entry_names.whole = sent is None
+        update.entry_names.joined.extend(names - (sent or frozenset()))
+        update.entry_names.left.extend((sent or frozenset()) - names)
 
 
-def _takes_out(update: fleet_pb2.FleetUpdate) -> bool:
-    """Whether a target is to get no more requests."""
+def _withdraws_target(update: fleet_pb2.FleetUpdate) -> bool:
+    """Whether an update takes some target out of service."""
     return any(
         agent.phase == fleet_pb2.AGENT_SWITCHING for agent in update.agents
     ) or any(state.phase != fleet_pb2.TARGET_READY for state in update.targets)
 
 
-class _ToldGoals:
-    """When each goal was last told to one watcher."""
+class _SentDesiredVersions:
+    """When each desired version was last sent to one watcher."""
 
-    __slots__ = ("_told_at",)
+    __slots__ = ("_last_sent_at_by_version",)
 
     def __init__(self) -> None:
-        self._told_at: dict[tuple[str, int], float] = {}
-
-    def take(self, goal: fleet_pb2.WeightGoal) -> bool:
-        """Whether a goal is to be told now, which is noted."""
-        key = goal.model, goal.version
-        told_at = self._told_at.get(key)
-        if told_at is not None and not self._is_due_again(goal, told_at):
+        self._last_sent_at_by_version: dict[tuple[str, int], float] = {}
+
+    def mark_if_due(self, desired: fleet_pb2.WeightGoal) -> bool:
+        """Whether to send a desired version now; if so, notes it as sent."""
+        key = desired.model, desired.version
+        last_sent_at = self._last_sent_at_by_version.get(key)
+        if last_sent_at is not None and not self._needs_resend(
+            desired, last_sent_at
+        ):
             return False
-        self._told_at[key] = now_s()
+        self._last_sent_at_by_version[key] = now_s()
         return True
 
-    def _is_due_again(self, goal: fleet_pb2.WeightGoal, told_at: float) -> bool:
-        if not goal.HasField("age_ms"):
+    def _needs_resend(
+        self, desired: fleet_pb2.WeightGoal, last_sent_at: float
+    ) -> bool:
+        if not desired.HasField("age_ms"):
             return False
-        is_young = goal.age_ms < _TOLD_AGAIN_S * 1000
-        return is_young and now_s() - told_at >= UPDATE_EVERY_S
+        is_recent = desired.age_ms < _AGE_RESEND_S * 1000
+        return is_recent and now_s() - last_sent_at >= UPDATE_EVERY_S
 
 
 class FleetService(fleet_grpc.FleetBase):
-    """Tells entries, agents and other control nodes what changes."""
+    """Sends changes to entries, agents and other control nodes."""
 
     def __init__(
         self,
@@ -154,115 +161,123 @@
         view: FleetView,
         control: FleetControl,
     ):
-        """Serves what `state` and `view` hold."""
+        """Serves `state` and `view`; `control` commits commands."""
         self._replica = replica
         self._state = state
         self._view = view
         self._control = control
         self._watchers: set[_Watcher] = set()
-        # By whether routes are left out.
+        # Cached replies, by whether routes are left out.
         self._reply_by_kind: dict[bool, fleet_pb2.ConfigurationReply] = {}
-        # Watchers that are entries; one that starts again may be there twice.
-        self._entries = 0
+        # Streams of entries. A restarted entry may have two for a while.
+        self._entry_stream_count = 0
         self._streams_by_entry: collections.Counter[str] = collections.Counter()
         self._entry_names: frozenset[str] = frozenset()
-        # The newest words that change nothing, until they go out together.
+        # Newest renewals without changes, collected into one update.
         self._renewals_by_address: dict[str, fleet_pb2.AgentState] = {}
         self._started_at = now_s()
-        view.listen(self._spread, on_renewal=self._gather_renewals)
-        state.listen(self._state_changed)
+        view.listen(self._broadcast, on_renewal=self._buffer_renewals)
+        state.listen(self._wake_watchers)
 
-    def _state_changed(self) -> None:
-        """Wakes every watcher after the replicated state moved."""
+    def _wake_watchers(self) -> None:
+        """Wakes all watchers after a change of the replicated state."""
         for watcher in self._watchers:
             watcher.wake.set()
 
     async def Watch(self, stream: Any) -> None:  # noqa: N802
-        """Sends all that is known, then each change."""
+        """Sends the whole view, then each change."""
         request = await stream.recv_message()
         if request is None:
             return
         is_agent = request.HasField("agent")
         watcher = _Watcher(is_entry=request.is_entry, is_agent=is_agent)
         self._watchers.add(watcher)
-        self._count_entry(watcher, request.name, 1)
+        self._track_entry(watcher, request.name, 1)
         log_event("watcher_joined", name=request.name)
         try:
             agents = [request.agent] if is_agent else []
             self._view.take([], agents, request.crashes, request.limits)
-            await self._push(stream, watcher)
+            await self._push_updates(stream, watcher)
         finally:
             self._watchers.discard(watcher)
-            self._count_entry(watcher, request.name, -1)
+            self._track_entry(watcher, request.name, -1)
             log_event("watcher_left", name=request.name)
 
-    def _count_entry(self, watcher: _Watcher, name: str, change: int) -> None:
-        """Counts the stream of an entry, and tells watchers who is there."""
+    def _track_entry(self, watcher: _Watcher, name: str, change: int) -> None:
+        """Counts streams of entries; wakes watchers when the names change."""
         if not watcher.is_entry:
             return
-        self._entries += change
+        self._entry_stream_count += change
         self._streams_by_entry[name] += change
-        self._streams_by_entry += collections.Counter()  # Drops the zeros.
+        self._streams_by_entry += collections.Counter()  # Drops zero counts.
         names = frozenset(self._streams_by_entry)
         if names == self._entry_names:
             return
         self._entry_names = names
-        for each in self._watchers:
-            if not each.is_agent:
-                each.wake.set()
-
-    async def _push(self, stream: Any, watcher: _Watcher) -> None:
-        watcher.add(self._everything())
-        told = _ToldGoals()
-        told_served: set[str] = set()
+        for other in self._watchers:
+            if not other.is_agent:
+                other.wake.set()
+
+    async def _push_updates(self, stream: Any, watcher: _Watcher) -> None:
+        watcher.add(self._full_update())
+        sent_versions = _SentDesiredVersions()
+        sent_served_models: set[str] = set()
         while True:
             update = fleet_pb2.FleetUpdate(
                 configuration_version=self._state.version,
                 control_addresses=self._replica.member_addresses(),
-                entries=self._entries,
+                entries=self._entry_stream_count,
+            )
+            watcher.move_to(update, self._view)
+            watcher.add_entry_changes(update, self._entry_names)
+            update.goals.extend(
+                each
+                for each in self._desired_versions()
+                if sent_versions.mark_if_due(each)
             )
-            watcher.take(update, self._view)
-            watcher.take_entries(update, self._entry_names)
-            update.goals.extend(g for g in self._goals() if told.take(g))
             for served in self._state.served():
-                if served.model not in told_served:
-                    told_served.add(served.model)
+                if served.model not in sent_served_models:
+                    sent_served_models.add(served.model)
                     update.served.append(served)
             await stream.send_message(update)
             sent_at = now_s()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(UPDATE_EVERY_S):
                     await watcher.wake.wait()
-                    await asyncio.sleep(_GATHER_S)
-                    async with asyncio.timeout_at(sent_at + _INTERVAL_S):
-                        await watcher.hurry.wait()
+                    await asyncio.sleep(_BATCH_DELAY_S)
+                    async with asyncio.timeout_at(
+                        sent_at + _MIN_UPDATE_INTERVAL_S
+                    ):
+                        await watcher.urgent.wait()
 
-    def _goals(self) -> Iterator[fleet_pb2.WeightGoal]:
-        """Versions that may still matter, older ones before newer ones.
+    def _desired_versions(self) -> Iterator[fleet_pb2.WeightGoal]:
+        """Yields recent desired versions of each model, oldest first.
 
-        Who hears of the newest alone doesn't know when the ones before it
-        were named.
+        A watcher that gets only the newest one does not learn when the ones
+        before it were set.
         """
         for model in self._state.goal_by_model:
-            for version, named_at in self._state.goal_times.of(model):
-                yield self._aged(model, version, named_at)
+            for version, set_at in self._state.version_times.retained(model):
+                yield self._with_age(model, version, set_at)
 
-    def _aged(
-        self, model: str, version: int, named_at: float
+    def _with_age(
+        self, model: str, version: int, set_at: float
     ) -> fleet_pb2.WeightGoal:
-        """A goal with its age, where this node or another one knows it."""
-        known = [self._view.goal_since(model, version)]
-        is_accepted = self._state.goal_times.is_accepted(model, version)
-        if is_accepted or named_at - self._started_at > _REPLAY_S:
-            known.append(named_at)
-        since = min(filter(math.isfinite, known), default=None)
-        aged = fleet_pb2.WeightGoal(model=model, version=version)
-        if since is not None:
-            aged.age_ms = int((now_s() - since) * 1000)
-        return aged
-
-    def _everything(self) -> fleet_pb2.FleetUpdate:
-        ended = list(self._view.book.ended())[-_MAX_ENDED_TOLD:]
+        """A desired version with its age, if any control node knows it."""
+        acceptance_times = [self._view.goal_since(model, version)]
+        is_accepted_here = self._state.version_times.is_accepted_here(
+            model, version
+        )
+        if is_accepted_here or set_at - self._started_at > _LOG_REPLAY_S:
+            acceptance_times.append(set_at)
+        accepted_at = min(filter(math.isfinite, acceptance_times), default=None)
+        desired = fleet_pb2.WeightGoal(model=model, version=version)
+        if accepted_at is not None:
+            desired.age_ms = int((now_s() - accepted_at) * 1000)
+        return desired
+
+    def _full_update(self) -> fleet_pb2.FleetUpdate:
+        ended = list(self._view.book.ended())[-_MAX_ENDED_TARGETS_SENT:]
         return fleet_pb2.FleetUpdate(
             targets=[*self._view.book.words(), *ended],
             agents=self._view.agents_by_address.values(),
@@ -270,55 +285,55 @@
             limits=self._view.limits.words(),
         )
 
-    def _gather_renewals(self, update: fleet_pb2.FleetUpdate) -> None:
-        """Takes words that change nothing; they go out together."""
+    def _buffer_renewals(self, update: fleet_pb2.FleetUpdate) -> None:
+        """Collects renewals without changes, to send them in one update."""
         if not self._renewals_by_address:
             loop = asyncio.get_running_loop()
-            loop.call_later(RENEWALS_GATHERED_S, self._spread_renewals)
+            loop.call_later(RENEWALS_GATHERED_S, self._broadcast_renewals)
         for agent in update.agents:
             self._renewals_by_address[agent.address] = agent
 
-    def _spread_renewals(self) -> None:
+    def _broadcast_renewals(self) -> None:
         agents = self._renewals_by_address.values()
         if agents:
-            self._spread(fleet_pb2.FleetUpdate(agents=agents))
+            self._broadcast(fleet_pb2.FleetUpdate(agents=agents))
 
     async def tell_crashes(
         self, crashes: Iterable[quarantine_pb2.TargetCrash]
     ) -> None:
-        """Tells watchers what has become known of crashes here."""
-        self._spread(fleet_pb2.FleetUpdate(crashes=crashes))
+        """Sends crashes that this node has learned of to all watchers."""
+        self._broadcast(fleet_pb2.FleetUpdate(crashes=crashes))
 
-    def _spread(self, update: fleet_pb2.FleetUpdate) -> None:
+    def _broadcast(self, update: fleet_pb2.FleetUpdate) -> None:
         for agent in update.agents:
             self._renewals_by_address.pop(agent.address, None)
         for watcher in self._watchers:
             watcher.add(update)
 
     async def GetConfiguration(self, stream: Any) -> None:  # noqa: N802
-        """Gives the configuration if it is newer than the caller's."""
+        """Sends the configuration if it is newer than that of the caller."""
         request = await stream.recv_message()
         reply = fleet_pb2.ConfigurationReply()
         configuration = self._state.configuration
         if configuration and configuration.version > request.above_version:
-            reply = self._reply(configuration, request.without_routes)
+            reply = self._cached_reply(configuration, request.without_routes)
         await stream.send_message(reply)
 
-    def _reply(
+    def _cached_reply(
         self, configuration: fleet_pb2.Configuration, without_routes: bool
     ) -> fleet_pb2.ConfigurationReply:
-        """What watchers get of a configuration; made once for all of them."""
+        """The reply with a configuration, built once for all watchers."""
         reply = self._reply_by_kind.get(without_routes)
         if (
             reply is None
             or reply.configuration.version != configuration.version
         ):
-            reply = _reply_with(configuration, without_routes)
+            reply = _build_reply(configuration, without_routes)
             self._reply_by_kind[without_routes] = reply
         return reply
 
     async def Relay(self, stream: Any) -> None:  # noqa: N802
-        """Takes what another control node or an entry got to know."""
+        """Merges what another control node or an entry has learned."""
         request = await stream.recv_message()
         self._view.take(
             request.targets, request.agents, request.crashes, request.limits
@@ -326,7 +341,7 @@
         await stream.send_message(fleet_pb2.RelayReply())
 
     async def Forward(self, stream: Any) -> None:  # noqa: N802
-        """Commits a command for a node that isn't the leader."""
+        """Commits a command on behalf of a node that does not lead."""
         request = await stream.recv_message()
         outcome = await self._control.commit_here(request.command)
         reply = fleet_pb2.ForwardReply()
@@ -334,11 +349,11 @@
             reply.committed = True
             reply.version = outcome.version
         elif isinstance(outcome, Unavailable):
-            reply.not_taken = outcome.is_not_taken
+            reply.not_taken = outcome.is_not_committed
         await stream.send_message(reply)
 
     async def ReadIndex(self, stream: Any) -> None:  # noqa: N802
-        """Confirms the leader and tells how far a reader must be."""
+        """Confirms the leadership; sends the index that a reader must apply."""
         await stream.recv_message()
         index = await self._control.confirmed_index()
         reply = fleet_pb2.ReadIndexReply(
@@ -347,7 +362,7 @@
         await stream.send_message(reply)
 
 
-def _reply_with(
+def _build_reply(
     configuration: fleet_pb2.Configuration, without_routes: bool
 ) -> fleet_pb2.ConfigurationReply:
     reply = fleet_pb2.ConfigurationReply()
--- a/damaskcroft/control/_fleet_state.py
+++ b/damaskcroft/control/_fleet_state.py
@@ -1,22 +1,22 @@
-"""The replicated state of a fleet: its configuration and its weights."""
+"""The replicated state machine of a fleet: configuration and weights."""
 
 import dataclasses
 from collections.abc import Callable
 
 from damaskcroft._generated import fleet_pb2
 from damaskcroft.consensus import StateMachine
-from damaskcroft.control._goal_times import GoalTimes
+from damaskcroft.control._desired_version_times import DesiredVersionTimes
 
 __all__ = ["Applied", "FleetState"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Applied:
-    """What a committed command did.
+    """Result of a committed command.
 
     Attributes:
-        changed: False when an equal or higher version was in place.
-        version: the version in place now.
+        changed: False when an equal or higher version was in force.
+        version: the version in force now.
     """
 
     changed: bool
@@ -24,64 +24,65 @@
 
 
 class FleetState(StateMachine):
-    """The highest version of everything that operators named.
+    """The highest versions of the configuration and of each model's weights.
 
     Attributes:
-        configuration: the highest, or None.
-        goal_by_model: the highest version named.
-        served_by_model: the version in service, of models without a goal.
-        goal_times: when this process applied each goal, in seconds on its
-            own clock; kept beside the replicated state.
+        configuration: the configuration with the highest version, or None.
+        goal_by_model: the desired version of each model that has one.
+        served_by_model: the recorded version in service of each model without
+            a desired version.
+        version_times: when this process applied each desired version, on its
+            own clock; not part of the replicated state.
     """
 
     def __init__(self) -> None:
-        """Creates the state of a new fleet."""
+        """Creates the state of a new fleet, without any configuration."""
         self._listeners: list[Callable[[], None]] = []
         self.configuration: fleet_pb2.Configuration | None = None
         self.goal_by_model: dict[str, fleet_pb2.WeightGoal] = {}
         self.served_by_model: dict[str, int] = {}
-        self.goal_times = GoalTimes()
+        self.version_times = DesiredVersionTimes()
 
     def listen(self, listener: Callable[[], None]) -> None:
-        """Calls `listener` after each change from now on."""
+        """Registers `listener`, which is called after each change."""
         self._listeners.append(listener)
 
-    def _changed(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self._listeners:
             listener()
 
     @property
     def version(self) -> int:
-        """Version of the configuration; 0 for none."""
+        """Version of the configuration; 0 without one."""
         return self.configuration.version if self.configuration else 0
 
-    def weights_version(self, model: str) -> int:
-        """The version that a model should serve; 0 for none named."""
-        goal = self.goal_by_model.get(model)
-        return goal.version if goal else 0
+    def desired_version(self, model: str) -> int:
+        """The desired version of a model; 0 without one."""
+        desired = self.goal_by_model.get(model)
+        return desired.version if desired else 0
 
     def served(self) -> list[fleet_pb2.ServedVersion]:
-        """The versions in service of models without a goal."""
+        """Recorded versions in service of models without a desired version."""
         return [
             fleet_pb2.ServedVersion(model=model, version=version)
             for model, version in self.served_by_model.items()
         ]
 
     def apply(self, index: int, command: bytes) -> Applied | None:
-        """See StateMachine."""
-        del index  # The versions order everything here.
+        """Applies one command; None for one of an unknown kind."""
+        del index  # Versions, not log indexes, decide which command prevails.
         parsed = fleet_pb2.FleetCommand.FromString(command)
         match parsed.WhichOneof("kind"):
             case "configure":
                 return self._configure(parsed.configure)
             case "name_weights":
-                return self._name_weights(parsed.name_weights)
+                return self._set_desired_version(parsed.name_weights)
             case "record_served":
                 return self._record_served(parsed.record_served)
         return None
 
     def snapshot(self) -> bytes:
-        """See StateMachine."""
+        """Serializes the whole state, byte for byte equal on all replicas."""
         image = fleet_pb2.FleetImage(
             configuration=self.configuration,
             goals=self.goal_by_model.values(),
@@ -90,46 +91,47 @@
         return image.SerializeToString(deterministic=True)
 
     def restore(self, state: bytes) -> None:
-        """See StateMachine."""
+        """Replaces the state by that of a snapshot."""
         image = fleet_pb2.FleetImage.FromString(state)
         self.configuration = None
         if image.HasField("configuration"):
             self.configuration = image.configuration
-        for goal in image.goals:
-            self.goal_times.restore(goal.model, goal.version)
-        self.goal_by_model = {goal.model: goal for goal in image.goals}
+        for desired in image.goals:
+            self.version_times.record_restored(desired.model, desired.version)
+        self.goal_by_model = {desired.model: desired for desired in image.goals}
         self.served_by_model = {
-            kept.model: kept.version for kept in image.served
+            each.model: each.version for each in image.served
         }
-        self._changed()
+        self._notify_listeners()
 
     def _configure(self, configuration: fleet_pb2.Configuration) -> Applied:
         changed = configuration.version > self.version
         if changed:
             self.configuration = configuration
-            self._changed()
+            self._notify_listeners()
         return Applied(changed, self.version)
 
-    def _name_weights(self, goal: fleet_pb2.WeightGoal) -> Applied:
-        changed = goal.version > self.weights_version(goal.model)
+    def _set_desired_version(self, desired: fleet_pb2.WeightGoal) -> Applied:
+        changed = desired.version > self.desired_version(desired.model)
         if changed:
-            self.goal_by_model[goal.model] = goal
-            self.served_by_model.pop(goal.model, None)
-            self.goal_times.name(goal.model, goal.version)
-            self._changed()
-        return Applied(changed, self.weights_version(goal.model))
+            self.goal_by_model[desired.model] = desired
+            self.served_by_model.pop(desired.model, None)
+            self.version_times.record_set(desired.model, desired.version)
+            self._notify_listeners()
+        return Applied(changed, self.desired_version(desired.model))
 
     def _record_served(self, served: fleet_pb2.ServedVersion) -> Applied:
-        """Keeps the first version recorded, and none beside a goal.
+        """Keeps the first recorded version, unless a desired version is set.
 
-        Leaders may record twice, or while an operator names a version: the
-        order of the log decides, and what was named stands.
+        Two leaders may both record a version, or one may do so while an
+        operator sets the desired version. The order of the log decides between
+        records, and a desired version always takes precedence.
         """
         model = served.model
         if model in self.goal_by_model:
-            return Applied(False, self.weights_version(model))
+            return Applied(False, self.desired_version(model))
         changed = model not in self.served_by_model
         if changed:
             self.served_by_model[model] = served.version
-            self._changed()
+            self._notify_listeners()
         return Applied(changed, self.served_by_model[model])
--- a/damaskcroft/control/_limits_service.py
+++ b/damaskcroft/control/_limits_service.py
@@ -1,4 +1,4 @@
-"""What operators ask of the limits that targets name."""
+"""Lists rate limits of targets for operators."""
 
 from typing import Any
 
@@ -9,19 +9,19 @@
 
 
 class LimitsService(limits_grpc.LimitsBase):
-    """Lists targets that name how many requests a second they take.
+    """Lists the rate limits that targets announce in their answers.
 
     Args:
-        book: what this node knows.
+        registry: the rate limits known to this node.
     """
 
-    def __init__(self, book: LimitBook):
-        """See the class."""
-        self._book = book
+    def __init__(self, registry: LimitBook):
+        """Serves the rate limits of `registry`."""
+        self._registry = registry
 
     async def Review(self, stream: Any) -> None:  # noqa: N802
-        """Tells all limits that are named now."""
+        """Sends all rate limits in force."""
         await stream.recv_message()
         await stream.send_message(
-            limits_pb2.LimitsReply(limits=self._book.named())
+            limits_pb2.LimitsReply(limits=self._registry.named())
         )
--- a/damaskcroft/control/_proposer.py
+++ b/damaskcroft/control/_proposer.py
@@ -1,4 +1,4 @@
-"""Turns commands into log entries stamped with log time."""
+"""Proposes commands as log entries that carry the log time."""
 
 import asyncio
 
@@ -11,12 +11,12 @@
 class Proposer:
     """Proposes commands at this replica.
 
-    Log time moves by this process's monotonic clock from the last committed
-    time on, so that a wall clock that jumps can't expire claims early.
+    Log time advances from the last committed time by the monotonic clock of
+    this process, so that a jump of the wall clock cannot expire claims early.
     """
 
     def __init__(self, replica: Replica, state: ControlState):
-        """Uses one replica and the state that it drives."""
+        """Proposes at `replica`, which applies its log to `state`."""
         self.replica = replica
         self.state = state
         self._base_ms = 0
@@ -26,7 +26,7 @@
     async def propose(
         self, command: control_pb2.Command, timeout_s: float
     ) -> Outcome:
-        """Commits a command, or says that it's not known to be committed."""
+        """Commits a command; after the timeout its outcome is undecided."""
         command.time_ms = self._log_time_ms()
         try:
             async with asyncio.timeout(timeout_s):
--- a/damaskcroft/control/_quarantine_service.py
+++ b/damaskcroft/control/_quarantine_service.py
@@ -1,4 +1,4 @@
-"""What operators ask of requests that are refused since targets crashed."""
+"""Lists and lifts the quarantine of requests on which targets crashed."""
 
 from collections.abc import Awaitable, Callable, Iterable
 from typing import Any
@@ -12,38 +12,40 @@
 
 
 class QuarantineService(quarantine_grpc.QuarantineBase):
-    """Lists quarantined requests, and lets some run again.
+    """Lists quarantined requests and lifts the quarantine of some.
 
     Args:
-        book: what this node knows.
-        tell: tells others what was cleared.
-        knows: whether this node may answer for the fleet now.
+        registry: the crashes known to this node.
+        publish: sends cleared crashes to other processes.
+        is_authoritative: whether this node may answer for the fleet now.
     """
 
     def __init__(
         self,
-        book: CrashBook,
-        tell: Callable[[Iterable[quarantine_pb2.TargetCrash]], Awaitable[None]],
-        knows: Callable[[], bool] = lambda: True,
+        registry: CrashBook,
+        publish: Callable[
+            [Iterable[quarantine_pb2.TargetCrash]], Awaitable[None]
+        ],
+        is_authoritative: Callable[[], bool] = lambda: True,
     ):
-        """See the class."""
-        self._book = book
-        self._tell = tell
-        self._knows = knows
+        """Serves the quarantined requests of `registry`."""
+        self._registry = registry
+        self._publish = publish
+        self._is_authoritative = is_authoritative
 
     async def Review(self, stream: Any) -> None:  # noqa: N802
-        """Lifts what is asked for, then lists the others."""
+        """Lifts the requested quarantines, then lists the remaining ones."""
         request = await stream.recv_message()
-        if not self._knows():
+        if not self._is_authoritative():
             raise GRPCError(Status.UNAVAILABLE, "not the leader")
         reply = quarantine_pb2.QuarantineReply()
         for fingerprint in request.lift:
-            cleared = self._book.clear(fingerprint)
+            cleared = self._registry.clear(fingerprint)
             if not cleared:
                 continue
             reply.lifted += 1
-            await self._tell(cleared)
-        for quarantined in self._book.quarantined():
+            await self._publish(cleared)
+        for quarantined in self._registry.quarantined():
             reply.requests.add(
                 fingerprint=quarantined.fingerprint,
                 start_ids=quarantined.start_ids,
--- a/damaskcroft/control/_rollout.py
+++ b/damaskcroft/control/_rollout.py
@@ -1,31 +1,32 @@
-"""Which targets of one deployment get the new version next."""
+"""Chooses the next targets in the rolling update of a deployment."""
 
 import dataclasses
 
 from damaskcroft._generated import control_pb2, records_pb2
 
-# A target that its agent has not reached for so long holds the rollout up no
-# more. Longer than a target of the stand-ins takes to be started again, and
-# than one state call may last (5 s), so that one that is slow for a moment is
-# not skipped: two would then be out where one may be.
-_SKIPPED_AFTER_MS = 10_000
+# The rollout stops waiting for a target that its agent has not reached for this
+# long. It is longer than a restart of a stand-in target and than one state call
+# may take (5 s). Otherwise a target that is slow for a moment would be skipped,
+# and two targets would be out of service where `max_out` allows one.
+_SKIP_UNREACHABLE_AFTER_MS = 10_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wave:
-    """The next targets to change.
+    """The next targets to change, and the state of the ones before.
 
     Attributes:
-        targets: to be assigned now; may be empty.
-        stopped_by: why the rollout must not go on, or empty.
-        waits_for: what holds up targets that are changing now, by target id.
-        skipped: targets that the rollout goes on without, since they can't
-            be reached; they follow their assignment when they are back.
+        targets: targets to assign now; may be empty.
+        stopped_by: why the rollout must not continue, or empty.
+        held_up_by_target: what delays each target that is changing now, by
+            target id.
+        skipped: ids of unreachable targets, for which the rollout does not
+            wait; they follow their assignment once they are reachable.
     """
 
     targets: list[control_pb2.Announcement]
     stopped_by: str = ""
-    waits_for: dict[str, control_pb2.HeldUpBy] = dataclasses.field(
+    held_up_by_target: dict[str, control_pb2.HeldUpBy] = dataclasses.field(
         default_factory=dict
     )
     skipped: list[str] = dataclasses.field(default_factory=list)
@@ -39,18 +40,18 @@
 ) -> Wave:
     """Chooses targets within the deployment's bounds.
 
-    At most `max_out` targets are between versions at once, and never so many
-    that fewer than `floor` serve. Until the first target serves the new
-    version, one at a time is tried, so that a version that fails to load
-    stops at its first target. A target that can't be reached counts neither
-    as serving nor as changing: it is out already, and standing still until
-    somebody mends it would keep all others from the version.
+    At most `max_out` targets change their version at once, and at least
+    `floor` targets remain in service. Until the first target serves the new
+    version, only one is tried at a time, so that a version that fails to load
+    affects a single target. An unreachable target counts neither as serving
+    nor as changing: it is out of service already, and waiting for its repair
+    would keep the version from all others.
 
     Args:
-        deployment: what the targets should serve.
-        targets: those with a lease that the deployment matches.
-        assignments_by_target: what each was last ordered to serve.
-        reports_by_id: what each says of itself now.
+        deployment: the deployment that the targets should serve.
+        targets: targets with a lease that the deployment matches.
+        assignments_by_target: the last assignment of each target.
+        reports_by_id: the newest report of each target.
     """
     manifest = deployment.manifest
     reports = [
@@ -71,16 +72,18 @@
         if _is_assigned(target.id, manifest, assignments_by_target)
         and report.manifest != manifest
     ]
-    skipped = [report.id for report in changing if _is_out_of_reach(report)]
-    waits_for = {
+    skipped = [report.id for report in changing if _is_unreachable(report)]
+    held_up_by_target = {
         report.id: report.held_up_by
         for report in changing
-        if not _is_out_of_reach(report)
+        if not _is_unreachable(report)
     }
-    proven = any(_serves(report, manifest) for report in reports)
+    is_proven = any(_serves(report, manifest) for report in reports)
     serving = sum(1 for report in reports if _is_in_service(report))
-    room = (deployment.max_out if proven else 1) - len(waits_for)
-    spare = serving - deployment.floor
+    free_slots = (deployment.max_out if is_proven else 1) - len(
+        held_up_by_target
+    )
+    surplus = serving - deployment.floor
     chosen: list[control_pb2.Announcement] = []
     for target, report in zip(targets, reports, strict=True):
         if _is_assigned(target.id, manifest, assignments_by_target):
@@ -88,16 +91,16 @@
         if report.staged_manifest != manifest:
             continue
         in_service = _is_in_service(report)
-        if in_service and (room <= 0 or spare <= 0):
+        if in_service and (free_slots <= 0 or surplus <= 0):
             continue
-        # A target that serves nothing takes nothing out of service, but
-        # waits for the first success like all others.
-        if not in_service and not proven and room <= 0:
+        # Changing a target that is not in service removes no capacity. It
+        # still waits until the first target serves the new version.
+        if not in_service and not is_proven and free_slots <= 0:
             continue
         chosen.append(target)
-        room -= 1
-        spare -= 1 if in_service else 0
-    return Wave(chosen, waits_for=waits_for, skipped=skipped)
+        free_slots -= 1
+        surplus -= 1 if in_service else 0
+    return Wave(chosen, held_up_by_target=held_up_by_target, skipped=skipped)
 
 
 def _is_assigned(
@@ -118,11 +121,11 @@
 
 def _is_in_service(report: control_pb2.TargetReport) -> bool:
     serves = bool(report.manifest) and not report.draining
-    return serves and not _is_out_of_reach(report)
+    return serves and not _is_unreachable(report)
 
 
-def _is_out_of_reach(report: control_pb2.TargetReport) -> bool:
+def _is_unreachable(report: control_pb2.TargetReport) -> bool:
     return (
         report.held_up_by == control_pb2.HELD_UP_TARGET_UNREACHABLE
-        and report.held_up_ms >= _SKIPPED_AFTER_MS
+        and report.held_up_ms >= _SKIP_UNREACHABLE_AFTER_MS
     )
--- a/damaskcroft/control/_service.py
+++ b/damaskcroft/control/_service.py
@@ -1,4 +1,4 @@
-"""The gRPC face of control towards holders and operators."""
+"""gRPC service of control nodes for lease holders and operators."""
 
 import asyncio
 import contextlib
@@ -18,30 +18,34 @@
 
 _COMMIT_TIMEOUT_S = 5.0
 _CONFIRM_TIMEOUT_S = 2.0
-# Deltas to one holder are at least this far apart.
-_PUSH_GAP_S = 0.02
-# A delta is sent at least this often, so that lost wake-ups can't stall one.
-_PUSH_IDLE_S = 1.0
+# Minimum interval between deltas to one holder.
+_MIN_PUSH_INTERVAL_S = 0.02
+# Changes are checked for at least this often, so that a lost wake-up cannot
+# stall the deltas.
+_MAX_PUSH_INTERVAL_S = 1.0
 
 
 class ControlService(control_grpc.ControlBase):
-    """Answers holders and operators; only the leader acts."""
+    """Answers holders and operators; only the leader acts on requests."""
 
     def __init__(
         self, proposer: Proposer, ledger: LeaseLedger, reconciler: Reconciler
     ):
-        """Serves the state that `proposer` changes."""
+        """Serves the state behind `proposer` and the leases of `ledger`.
+
+        `reconciler` provides the status of holders.
+        """
         self._proposer = proposer
         self._replica = proposer.replica
         self._state = proposer.state
         self._ledger = ledger
         self._reconciler = reconciler
-        self._settled = asyncio.Condition()
+        self._claim_settled = asyncio.Condition()
 
     # --- Holders -----------------------------------------------------------
 
     async def Hold(self, stream: Any) -> None:  # noqa: N802
-        """Keeps one holder's lease and roster for as long as it stays."""
+        """Renews the lease of one holder and sends it changes of the roster."""
         first = await stream.recv_message()
         if first is None or first.WhichOneof("kind") != "announce":
             return
@@ -50,11 +54,13 @@
         if not await self._announce(announcement):
             await self._send_not_leader(holder)
             return
-        if not await self._still_holds(announcement, first.granted_revision):
+        if not await self._is_lease_unbroken(
+            announcement, first.granted_revision
+        ):
             await self._wait_for_predecessor(announcement)
         pushing = asyncio.create_task(self._push_deltas(holder, announcement))
         try:
-            await self._take_renewals(holder, announcement)
+            await self._receive_renewals(holder, announcement)
         finally:
             pushing.cancel()
             await asyncio.gather(pushing, return_exceptions=True)
@@ -63,10 +69,10 @@
         if not self._replica.is_confirmed_leader:
             return False
         self._ledger.lead(self._replica.term)
-        known = self._state.holders.holders_by_id.get(announcement.id)
-        if known is not None:
-            announcement.revision = known.revision
-            if known == announcement:
+        stored = self._state.holders.holders_by_id.get(announcement.id)
+        if stored is not None:
+            announcement.revision = stored.revision
+            if stored == announcement:
                 return True
         announcement.revision = 0
         command = control_pb2.Command(announce=announcement)
@@ -82,28 +88,29 @@
         await self._ledger.notify()
         return True
 
-    async def _still_holds(
+    async def _is_lease_unbroken(
         self, announcement: control_pb2.Announcement, granted_revision: int
     ) -> bool:
-        """Whether nobody else can have been granted the lease meanwhile.
+        """Whether no other process can have been granted the lease meanwhile.
 
-        An earlier leader granted it under an announcement, after whoever had
-        the id before had lost it. As long as that announcement is the last
-        one committed, nobody else can hold it; this process need not wait for
-        itself when the leader changes.
+        An earlier leader granted the lease under an announcement, after the
+        lease of the previous process with this id had expired. While that
+        announcement is the last one committed, no other process can hold the
+        lease, so the holder need not wait for the expiry of its own lease when
+        the leader changes.
         """
         if not granted_revision:
             return False
         if not await self._replica.confirm_leader(_CONFIRM_TIMEOUT_S):
             return False
-        known = self._state.holders.holders_by_id[announcement.id]
-        return known.revision == granted_revision
+        stored = self._state.holders.holders_by_id[announcement.id]
+        return stored.revision == granted_revision
 
     async def _wait_for_predecessor(
         self, announcement: control_pb2.Announcement
     ) -> None:
         if announcement.kind != control_pb2.HOLDER_AGENT:
-            # Entries order nothing: two of them under one id do no harm.
+            # Entries give no orders, so two of them under one id are harmless.
             return
         wait_s = self._ledger.wait_for_predecessor_s(
             announcement.id, announcement.incarnation
@@ -112,7 +119,7 @@
             log_event("waits_out_lease", id=announcement.id, wait_s=wait_s)
             await asyncio.sleep(wait_s)
 
-    async def _take_renewals(
+    async def _receive_renewals(
         self, stream: "_HolderStream", announcement: control_pb2.Announcement
     ) -> None:
         holder_id = announcement.id
@@ -120,10 +127,10 @@
             message = await stream.receive()
             if message is None:
                 return
-            known = self._state.holders.holders_by_id.get(holder_id)
+            stored = self._state.holders.holders_by_id.get(holder_id)
             if (
-                known is None
-                or known.incarnation != announcement.incarnation
+                stored is None
+                or stored.incarnation != announcement.incarnation
                 or not self._replica.is_confirmed_leader
             ):
                 await self._send_not_leader(stream)
@@ -136,7 +143,7 @@
             grant = control_pb2.LeaseGrant(
                 sequence=message.renew.sequence,
                 duration_ms=int(self._ledger.lease_s * 1000),
-                announced_revision=known.revision,
+                announced_revision=stored.revision,
             )
             await stream.send(control_pb2.ControlMessage(lease=grant))
             if self._ledger.sequence != before:
@@ -150,23 +157,26 @@
         wants_reports = announcement.kind == control_pb2.HOLDER_ENTRY
         while True:
             delta = self._state.delta_since(revision)
-            now_lapsed = set(self._ledger.lapsed_ids)
-            delta.lapsed.extend(now_lapsed - lapsed)
-            delta.present.extend(lapsed - now_lapsed)
+            current_lapsed = set(self._ledger.lapsed_ids)
+            delta.lapsed.extend(current_lapsed - lapsed)
+            delta.present.extend(lapsed - current_lapsed)
             if wants_reports:
                 delta.reports.extend(self._ledger.reports_since(sequence))
                 delta.crashes.extend(self._ledger.crashes_since(sequence))
-            if _says_something(delta):
+            if _has_content(delta):
                 revision = delta.to_revision
-                lapsed = now_lapsed
+                lapsed = current_lapsed
                 sequence = self._ledger.sequence
                 await stream.send(control_pb2.ControlMessage(delta=delta))
-            await asyncio.sleep(_PUSH_GAP_S)
+            await asyncio.sleep(_MIN_PUSH_INTERVAL_S)
             await self._wait_for_change(revision, sequence)
 
     async def _wait_for_change(self, revision: int, sequence: int) -> None:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_PUSH_IDLE_S), self._ledger.changed:
+            async with (
+                asyncio.timeout(_MAX_PUSH_INTERVAL_S),
+                self._ledger.changed,
+            ):
                 await self._ledger.changed.wait_for(
                     lambda: (
                         self._state.config_revision > revision
@@ -177,8 +187,8 @@
     async def tell_crashes(
         self, crashes: Iterable[quarantine_pb2.TargetCrash]
     ) -> None:
-        """Tells entries what has become known of crashes here."""
-        del crashes  # The ledger has them, and tells all that it knows.
+        """Sends crashes that this node has learned of to all entries."""
+        del crashes  # The ledger holds them and sends all that it holds.
         self._ledger.note_crashes()
         await self._ledger.notify()
 
@@ -189,7 +199,7 @@
     # --- Operators -----------------------------------------------------------
 
     async def Write(self, stream: Any) -> None:  # noqa: N802
-        """Commits an operator's change."""
+        """Commits an operator's write of a record."""
         request = await stream.recv_message()
         command = control_pb2.Command(write=request)
         outcome = await self._proposer.propose(command, _COMMIT_TIMEOUT_S)
@@ -217,11 +227,11 @@
             revision=reply.record.revision,
         )
         if reply.outcome == control_pb2.WRITE_ACCEPTED:
-            self._reconciler.watch_in_force(reply.record.revision)
+            self._reconciler.start_measuring_in_force(reply.record.revision)
         return reply
 
     async def Read(self, stream: Any) -> None:  # noqa: N802
-        """Gives the whole configuration, confirmed by a majority."""
+        """Sends the whole configuration if a majority confirms the leader."""
         await stream.recv_message()
         confirmed = await self._replica.confirm_leader(_CONFIRM_TIMEOUT_S)
         reply = control_pb2.ReadReply(
@@ -240,7 +250,7 @@
     # --- Claims ------------------------------------------------------------
 
     async def Claim(self, stream: Any) -> None:  # noqa: N802
-        """Grants a claim, or tells what became of the earlier one."""
+        """Grants a claim, or sends the state of the earlier one for its key."""
         request = await stream.recv_message()
         reply = await self._claim(request)
         if reply.outcome == control_pb2.CLAIM_IN_PROGRESS and request.wait_ms:
@@ -250,7 +260,7 @@
         await stream.send_message(reply)
 
     async def Settle(self, stream: Any) -> None:  # noqa: N802
-        """Records the outcome of a run."""
+        """Commits the outcome of a run."""
         request = await stream.recv_message()
         command = control_pb2.Command(settle=request)
         outcome = await self._proposer.propose(command, _COMMIT_TIMEOUT_S)
@@ -261,14 +271,15 @@
             )
         )
         if committed:
-            async with self._settled:
-                self._settled.notify_all()
+            async with self._claim_settled:
+                self._claim_settled.notify_all()
 
     async def _claim(
         self, request: control_pb2.ClaimRequest
     ) -> control_pb2.ClaimReply:
         if self._replica.is_leader and not self._replica.is_confirmed_leader:
-            # Cut off, or just elected: appending now could only leave doubt.
+            # The leader is partitioned or newly elected: an entry appended
+            # now might stay undecided.
             return control_pb2.ClaimReply(outcome=control_pb2.CLAIM_NO_QUORUM)
         command = control_pb2.Command(claim=request)
         outcome = await self._proposer.propose(command, _COMMIT_TIMEOUT_S)
@@ -292,8 +303,8 @@
 
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(request.wait_ms / 1000):
-                async with self._settled:
-                    await self._settled.wait_for(settled)
+                async with self._claim_settled:
+                    await self._claim_settled.wait_for(settled)
         held = self._state.claims.find(request.customer, request.key)
         if held is None:
             return reply
@@ -301,10 +312,10 @@
 
 
 class _HolderStream:
-    """One holder's stream, on which grants and deltas are sent by turns.
+    """Stream of one holder, which sends one message at a time.
 
-    A message that waits for a slow reader is sent in pieces; another one that
-    was sent meanwhile would end up between them, and the reader could decode
+    A message to a slow reader is sent in several pieces. A second message sent
+    in the meantime would end up between them, and the reader could decode
     neither.
     """
 
@@ -322,7 +333,7 @@
             await self._stream.send_message(message)
 
 
-def _says_something(delta: control_pb2.RosterDelta) -> bool:
+def _has_content(delta: control_pb2.RosterDelta) -> bool:
     return bool(
         delta.to_revision > delta.from_revision
         or delta.reports
--- a/damaskcroft/control/_service_recorder.py
+++ b/damaskcroft/control/_service_recorder.py
@@ -1,8 +1,8 @@
-"""Records which version is in service while operators have named none.
+"""Records the version in service of models without a desired version.
 
-What targets hold is soft: it is gone when all of them lose power at once. The
-version that they served is owed to their users all the same, so it stands in
-the replicated log as soon as they have shown it.
+Targets hold their version in memory and lose it when all of them lose power at
+once. Because users must then get the same version again, the leader commits it
+to the replicated log once the targets have announced it for long enough.
 """
 
 import asyncio
@@ -18,42 +18,42 @@
 
 __all__ = ["ServiceRecorder"]
 
-# How often the leader looks at what targets hold: as often as it tells its
-# watchers something at least; a look costs less than such an update.
-_LOOK_EVERY_S = 0.5
-# After a record that wasn't acknowledged, the first pause, which doubles up to
-# the longest: a log that is slow gets few more entries, and one that works
-# again isn't left without the record for long.
-_FIRST_PAUSE_S = 1.0
-_LONGEST_PAUSE_S = 16.0
+# How often the leader checks what targets hold: at the longest interval between
+# updates to its watchers. A check costs less than such an update.
+_CHECK_INTERVAL_S = 0.5
+# The delay after a record that was not acknowledged doubles from the initial to
+# the maximum one: a slow log gets few further entries, and a log that works
+# again gets the record soon.
+_INITIAL_RETRY_DELAY_S = 1.0
+_MAX_RETRY_DELAY_S = 16.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Seen:
-    """A version that most holders have been seen with.
+class _Observation:
+    """A version that the majority of a model's holders have.
 
     Attributes:
-        version: what they hold.
-        record_at: not to be recorded before, in seconds of this process's
-            clock.
-        pause_s: what is waited after the next failure.
+        version: the version that they hold.
+        earliest_record_at: earliest time of the next attempt to record it, in
+            seconds on the clock of this process.
+        retry_delay_s: delay after the next failed attempt.
     """
 
     version: int
-    record_at: float
-    pause_s: float = _FIRST_PAUSE_S
+    earliest_record_at: float
+    retry_delay_s: float = _INITIAL_RETRY_DELAY_S
 
 
 class ServiceRecorder:
-    """Writes the version in service into the log while this node leads.
+    """Commits the version in service to the log while this node leads.
 
     Args:
-        replica: of this node.
-        state: what the log has built.
-        view: what targets and agents say.
-        control: commits.
-        settled_s: for how long the targets heard must agree. A new leader
-            has heard few of them at first.
+        replica: the replica of this node.
+        state: the state built from the log.
+        view: announcements of targets and agents.
+        control: commits the records.
+        stable_s: how long a majority must hold the same version before it is
+            recorded. A new leader has received few announcements at first.
     """
 
     def __init__(
@@ -62,28 +62,28 @@
         state: FleetState,
         view: FleetView,
         control: FleetControl,
-        settled_s: float,
+        stable_s: float,
     ):
-        """See the class."""
+        """Starts without observations of any model."""
         self._replica = replica
         self._state = state
         self._view = view
         self._control = control
-        self._settled_s = settled_s
-        self._seen_by_model: dict[str, _Seen] = {}
+        self._stable_s = stable_s
+        self._observation_by_model: dict[str, _Observation] = {}
 
     async def run(self) -> None:
-        """Looks again and again until cancelled."""
+        """Checks all models at intervals until cancelled."""
         while True:
-            await asyncio.sleep(_LOOK_EVERY_S)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
             if not self._replica.is_confirmed_leader:
-                self._seen_by_model.clear()
+                self._observation_by_model.clear()
                 continue
-            for model in self._open_models():
-                await self._look(model)
+            for model in self._unrecorded_models():
+                await self._check_model(model)
 
-    def _open_models(self) -> list[str]:
-        """Models with neither a goal nor a record."""
+    def _unrecorded_models(self) -> list[str]:
+        """Names of models with neither a desired nor a recorded version."""
         models = {
             model.name
             for service in self._services()
@@ -99,20 +99,22 @@
         configuration = self._state.configuration
         return list(configuration.services) if configuration else []
 
-    async def _look(self, model: str) -> None:
+    async def _check_model(self, model: str) -> None:
         version = version_in_service(self._view, self._services(), model)
         if not version:
-            self._seen_by_model.pop(model, None)
+            self._observation_by_model.pop(model, None)
             return
-        seen = self._seen_by_model.get(model)
-        if seen is None or seen.version != version:
-            seen = _Seen(version, now_s() + self._settled_s)
-            self._seen_by_model[model] = seen
-        if now_s() < seen.record_at:
+        observation = self._observation_by_model.get(model)
+        if observation is None or observation.version != version:
+            observation = _Observation(version, now_s() + self._stable_s)
+            self._observation_by_model[model] = observation
+        if now_s() < observation.earliest_record_at:
             return
         if not await self._record(model, version):
-            seen.record_at = now_s() + seen.pause_s
-            seen.pause_s = min(2 * seen.pause_s, _LONGEST_PAUSE_S)
+            observation.earliest_record_at = now_s() + observation.retry_delay_s
+            observation.retry_delay_s = min(
+                2 * observation.retry_delay_s, _MAX_RETRY_DELAY_S
+            )
 
     async def _record(self, model: str, version: int) -> bool:
         served = fleet_pb2.ServedVersion(model=model, version=version)
@@ -124,6 +126,6 @@
             version=version,
             outcome=type(outcome).__name__,
             in_place=self._state.served_by_model.get(model),
-            named=self._state.weights_version(model),
+            named=self._state.desired_version(model),
         )
         return isinstance(outcome, Accepted)
--- a/damaskcroft/control/_state.py
+++ b/damaskcroft/control/_state.py
@@ -1,4 +1,4 @@
-"""The replicated state: records, holders, assignments and claims."""
+"""The replicated state machine of records, holders, assignments and claims."""
 
 from typing import Any
 
@@ -10,36 +10,36 @@
 
 
 class ControlState(StateMachine):
-    """What the log's commands build; equal on every replica.
+    """State built from the commands of the log; equal on every replica.
 
     Args:
         claim_kept_ms: how long settled claims are kept, in log time.
-        claims_per_customer: most claims of one customer.
+        claims_per_customer: maximum number of claims of one customer.
     """
 
     def __init__(self, claim_kept_ms: int, claims_per_customer: int):
-        """Creates the empty state."""
+        """Creates the empty state; the arguments bound its claim table."""
         self.records = RecordBook()
         self.holders = HolderTable()
         self.claims = ClaimTable(claim_kept_ms, claims_per_customer)
         self.assignments_by_target: dict[str, control_pb2.Assignment] = {}
         self.time_ms = 0
-        self._assigned_revision = 0
+        self._assignment_revision = 0
 
     @property
     def config_revision(self) -> int:
         """Log index of the last change of the configuration.
 
-        Claims move the log but not this.
+        Claims advance the log but not this revision.
         """
         return max(
             self.records.revision,
             self.holders.revision,
-            self._assigned_revision,
+            self._assignment_revision,
         )
 
     def apply(self, index: int, command: bytes) -> Any:
-        """See StateMachine; gives the reply that fits the command."""
+        """Applies one command and returns the reply of its kind."""
         parsed = control_pb2.Command.FromString(command)
         self.time_ms = max(self.time_ms, parsed.time_ms)
         match parsed.WhichOneof("kind"):
@@ -56,9 +56,9 @@
         return None
 
     def snapshot(self) -> bytes:
-        """See StateMachine."""
+        """Serializes the whole state, byte for byte equal on all replicas."""
         image = control_pb2.StateImage(
-            revision=self._assigned_revision,
+            revision=self._assignment_revision,
             time_ms=self.time_ms,
             records=self.records.records_by_key.values(),
             holders=self.holders.holders_by_id.values(),
@@ -69,17 +69,17 @@
         return image.SerializeToString(deterministic=True)
 
     def restore(self, state: bytes) -> None:
-        """See StateMachine."""
+        """Replaces the state by that of a snapshot."""
         image = control_pb2.StateImage.FromString(state)
         self.time_ms = image.time_ms
-        self._assigned_revision = image.revision
+        self._assignment_revision = image.revision
         self.records.restore(image.records, image.writes)
         self.holders.restore(image.holders)
         self.claims.restore(image.claims)
         self.assignments_by_target = {a.target: a for a in image.assignments}
 
     def delta_since(self, revision: int) -> control_pb2.RosterDelta:
-        """Everything in the configuration changed after a revision."""
+        """All parts of the configuration that changed after a revision."""
         return control_pb2.RosterDelta(
             from_revision=revision,
             to_revision=self.config_revision,
@@ -99,4 +99,4 @@
             stored.CopyFrom(assignment)
             stored.fencing = index
             self.assignments_by_target[stored.target] = stored
-        self._assigned_revision = index
+        self._assignment_revision = index
--- a/damaskcroft/control/_turns_service.py
+++ b/damaskcroft/control/_turns_service.py
@@ -1,4 +1,8 @@
-"""Grants entries their turns to send copies of a suspect request."""
+"""Grants turns to entries that have copies of a suspect request to send.
+
+A suspect request is one that ran on a target that crashed. A turn is the
+permission to send one copy of it, granted to one entry at a time.
+"""
 
 import asyncio
 import contextlib
@@ -13,14 +17,14 @@
 
 
 class TurnsService(quarantine_grpc.TurnsBase):
-    """Soft state: a turn ends with its stream, or with this process."""
+    """Keeps turns in memory: one ends with its stream or with this process."""
 
     def __init__(self) -> None:
-        """Nobody has asked."""
+        """Starts with no turn granted or requested."""
         self._turns = Turns()
 
     async def Take(self, stream: Any) -> None:  # noqa: N802
-        """Answers when it is the caller's turn, and waits for its end."""
+        """Grants the caller its turn until it ends the stream or time is up."""
         request = await stream.recv_message()
         if request is None:
             return
--- a/damaskcroft/control/main.py
+++ b/damaskcroft/control/main.py
@@ -1,4 +1,7 @@
-"""damask-control: one replica of the log, on an instance with a disk."""
+"""damask-control: runs one replica of the control log.
+
+The replica stores its log below the data folder, so that it needs a disk.
+"""
 
 import pathlib
 import sys
@@ -37,10 +40,11 @@
 )
 from damaskcroft.tasks import background
 
-_EXIT_CANNOT_FORMAT = 3
-_INSTALL_TIMEOUT_S = 60.0
-# A leader that ends hands over; after that an election is about as quick.
-_HAND_OVER_S = 0.6
+_EXIT_FORMAT_FAILED = 3
+_SNAPSHOT_TRANSFER_TIMEOUT_S = 60.0
+# A stopping leader transfers its leadership. Waiting longer than this gains
+# nothing, because an election takes about as long.
+_LEADERSHIP_TRANSFER_TIMEOUT_S = 0.6
 
 app = typer.Typer(pretty_exceptions_enable=False, add_completion=False)
 
@@ -55,32 +59,33 @@
 
 
 async def serve(settings: settings_pb2.ControlSettings, keys: Keys) -> None:
-    """Runs one replica until SIGTERM or SIGINT.
+    """Runs one replica until it receives SIGTERM or SIGINT.
 
     Raises:
-        ConsensusError: the data folder can't be used.
-        OSError: an address can't be bound.
+        ConsensusError: the data folder is not usable.
+        OSError: an address cannot be bound.
     """
     stop = stop_event()
     pool = ChannelPool(keys)
-    rules = settings.replica
+    replica_settings = settings.replica
     state = ControlState(
-        int(rules.claim_kept_s * 1000), rules.claims_per_customer
+        int(replica_settings.claim_kept_s * 1000),
+        replica_settings.claims_per_customer,
     )
     transport = GrpcTransport(
-        pool, rules.election_timeout_s, _INSTALL_TIMEOUT_S
+        pool, replica_settings.election_timeout_s, _SNAPSHOT_TRANSFER_TIMEOUT_S
     )
     options = ReplicaOptions(
-        id=rules.id,
+        id=replica_settings.id,
         address=settings.process.listen,
         first_members=_members(settings),
-        election_timeout_s=rules.election_timeout_s,
-        heartbeat_s=rules.heartbeat_s,
-        snapshot_entries=rules.snapshot_entries,
+        election_timeout_s=replica_settings.election_timeout_s,
+        heartbeat_s=replica_settings.heartbeat_s,
+        snapshot_entries=replica_settings.snapshot_entries,
     )
     replica = Replica(options, _disk(settings), transport, state)
     proposer = Proposer(replica, state)
-    ledger = LeaseLedger(rules.lease_s)
+    ledger = LeaseLedger(replica_settings.lease_s)
     reconciler = Reconciler(proposer, ledger)
     control = ControlService(proposer, ledger, reconciler)
     services = [
@@ -100,14 +105,20 @@
     async with grpc_served(settings.process.listen, services, keys):
         async with http_served(
             settings.process.http_listen, [Route("/readyz", ready)]
-        ) as face:
+        ) as http_server:
             await replica.start()
-            log_event("started", id=rules.id, incarnation=replica.incarnation)
+            log_event(
+                "started",
+                id=replica_settings.id,
+                incarnation=replica.incarnation,
+            )
             async with background(reconciler.run):
                 await stop.wait()
-                log_event("stopping", id=rules.id)
-                face.give_notice()
-                await replica.hand_over(_HAND_OVER_S, for_good=True)
+                log_event("stopping", id=replica_settings.id)
+                http_server.give_notice()
+                await replica.hand_over(
+                    _LEADERSHIP_TRANSFER_TIMEOUT_S, for_good=True
+                )
         await replica.stop()
     pool.close()
 
@@ -122,7 +133,8 @@
     format_data_folder: Annotated[
         bool,
         typer.Option(
-            "--format", help="prepare the empty folder of a new cluster; once"
+            "--format",
+            help="format the empty data folder of a new cluster, once",
         ),
     ] = False,
 ) -> None:
@@ -151,9 +163,9 @@
         format_disk(_disk(settings), _members(settings))
     except (ConsensusError, OSError) as error:
         print(error, file=sys.stderr)
-        raise SystemExit(_EXIT_CANNOT_FORMAT) from error
+        raise SystemExit(_EXIT_FORMAT_FAILED) from error
 
 
 def main() -> None:
-    """Entry point of the program."""
+    """Runs the command-line program."""
     app()
--- a/damaskcroft/control/tests/test_crashes.py
+++ b/damaskcroft/control/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""How crashes of targets come to be known by every entry."""
+"""Distribution of target crashes to every entry."""
 
 import asyncio
 
@@ -6,12 +6,12 @@
 
 from damaskcroft._generated import fleet_pb2, quarantine_pb2
 from damaskcroft.control import QuarantineService
-from damaskcroft.control.tests.test_fleet_service import Node, Stream
+from damaskcroft.control.tests.test_fleet_service import Node, WatchStream
 from damaskcroft.fleet import FleetView
 
 
-class Asking(Stream):
-    """A stream on which a watcher says who it is, or another call's."""
+class RequestStream(WatchStream):
+    """A stream of any call, which sends one request and keeps the reply."""
 
     def __init__(self, view, request):
         super().__init__(view)
@@ -38,8 +38,8 @@
 
 
 @pytest.fixture
-def play(loop):
-    """Runs a scenario with a control node that knows nothing."""
+def run_scenario(loop):
+    """Runs a scenario with a control node that has just started."""
 
     def run(scenario):
         async def started():
@@ -50,17 +50,19 @@
     return run
 
 
-async def tell(node, *crashes):
+async def relay_crashes(node, *crashes):
     request = fleet_pb2.RelayRequest(crashes=crashes)
-    await node.service.Relay(Asking(None, request))
+    await node.service.Relay(RequestStream(None, request))
 
 
-def test_what_one_entry_saw_reaches_the_others_at_once(play):
+def test_a_crash_reported_by_one_entry_reaches_other_entries(run_scenario):
     async def scenario(node):
         entry, agent = FleetView(), FleetView()
         streams = [
-            Asking(entry, fleet_pb2.WatchRequest(name="e", is_entry=True)),
-            Asking(
+            RequestStream(
+                entry, fleet_pb2.WatchRequest(name="e", is_entry=True)
+            ),
+            RequestStream(
                 agent,
                 fleet_pb2.WatchRequest(
                     name="a", agent=fleet_pb2.AgentState(address="x")
@@ -69,46 +71,50 @@
         ]
         watching = [node.watch(stream) for stream in streams]
         await asyncio.sleep(1)
-        await tell(node, *(crash(f"t{n}", b"bad") for n in range(3)))
+        await relay_crashes(node, *(crash(f"t{n}", b"bad") for n in range(3)))
         await asyncio.sleep(0.1)
         assert entry.crashes.quarantined_s(b"bad")
-        # Agents send no requests, so they need not know.
+        # Agents send no requests, so crashes are not sent to them.
         assert not entry.crashes.is_suspect(b"other")
         assert not agent.crashes.is_suspect(b"bad")
         for task in watching:
             task.cancel()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_node_that_starts_anew_hears_all_from_whoever_watches_it(play):
+def test_a_restarted_node_learns_crashes_from_its_watchers(run_scenario):
     async def scenario(node):
         known = [crash(f"t{n}", b"bad") for n in range(3)]
         request = fleet_pb2.WatchRequest(name="e", is_entry=True, crashes=known)
-        watching = node.watch(Asking(FleetView(), request))
+        watching = node.watch(RequestStream(FleetView(), request))
         await asyncio.sleep(0.1)
         assert node.view.crashes.quarantined_s(b"bad")
         late = FleetView()
         joining = node.watch(
-            Asking(late, fleet_pb2.WatchRequest(name="l", is_entry=True))
+            RequestStream(late, fleet_pb2.WatchRequest(name="l", is_entry=True))
         )
         await asyncio.sleep(0.1)
         assert late.crashes.quarantined_s(b"bad")
         watching.cancel()
         joining.cancel()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_lift_reaches_entries_and_is_not_undone_by_a_late_word(play):
+def test_a_lift_reaches_entries_and_is_not_undone_by_a_late_report(
+    run_scenario,
+):
     async def scenario(node):
         entry = FleetView()
         watching = node.watch(
-            Asking(entry, fleet_pb2.WatchRequest(name="e", is_entry=True))
+            RequestStream(
+                entry, fleet_pb2.WatchRequest(name="e", is_entry=True)
+            )
         )
         known = [crash(f"t{n}", b"bad") for n in range(3)]
-        await tell(node, *known)
-        call = Asking(
+        await relay_crashes(node, *known)
+        call = RequestStream(
             None, quarantine_pb2.QuarantineRequest(lift=[b"bad", b"x"])
         )
         service = QuarantineService(
@@ -116,9 +122,9 @@
         )
         await service.Review(call)
         assert (call.reply.lifted, len(call.reply.requests)) == (1, 0)
-        await tell(node, *known)
+        await relay_crashes(node, *known)
         await asyncio.sleep(0.1)
         assert not entry.crashes.is_suspect(b"bad")
         watching.cancel()
 
-    play(scenario)
+    run_scenario(scenario)
--- a/damaskcroft/control/tests/test_fleet_control.py
+++ b/damaskcroft/control/tests/test_fleet_control.py
@@ -1,4 +1,4 @@
-"""Configurations and announcements at control nodes over real connections."""
+"""Configurations and announcements at control nodes over TCP connections."""
 
 import asyncio
 import contextlib
@@ -31,13 +31,13 @@
 
 KEYS = Keys(None, None)
 ELECTION_S = 0.3
-HAND_OVER_S = 2.0
-AT_ONCE_S = 2.0
-PATIENCE_S = 10.0
+TRANSFER_TIMEOUT_S = 2.0
+PROMPT_REFUSAL_S = 2.0
+LONG_TIMEOUT_S = 10.0
 
 
 class Node:
-    """One control node: replica, state, view and services."""
+    """A control node with its replica, state, view and services."""
 
     def __init__(self, address, members, folder):
         self.address = address
@@ -85,8 +85,8 @@
     ]
     for node in nodes:
         await node.start()
-    await until(lambda: any(n.replica.is_confirmed_leader for n in nodes))
-    await until(lambda: all(n.replica.leader_address for n in nodes))
+    await wait_until(lambda: any(n.replica.is_confirmed_leader for n in nodes))
+    await wait_until(lambda: all(n.replica.leader_address for n in nodes))
     try:
         yield nodes
     finally:
@@ -94,21 +94,21 @@
             await node.stop()
 
 
-async def until(condition):
+async def wait_until(condition):
     async with asyncio.timeout(20):
         while not condition():
             await asyncio.sleep(0.02)
 
 
-async def sent_again(operation, *arguments):
-    """An operator's call, sent again until a node can say.
+async def retry_while_unavailable(operation, *arguments):
+    """Repeats an operator's call until the answer is not `Unavailable`.
 
-    On a busy machine three nodes in one process may not be run for longer than
-    an election timeout, 0.3 s here. Their leader then steps down, and each
-    answers `Unavailable`, truly and at once, until a new one is elected: in
-    two runs beside 14 busy processes the first change was answered
-    `not committed in time` and 28 to 29 others in the same moment `no leader
-    known`. What is accepted must hold all the same.
+    On a busy machine three nodes in one process may get no CPU time for longer
+    than an election timeout, 0.3 s here. Their leader then steps down, and each
+    node correctly answers `Unavailable` at once until a new leader is elected:
+    in two runs beside 14 busy processes the first change was answered `not
+    committed in time` and 28 to 29 others at the same moment `no leader known`.
+    Accepted changes must hold nevertheless.
     """
     async with asyncio.timeout(20):
         while isinstance(answer := await operation(*arguments), Unavailable):
@@ -120,11 +120,11 @@
     return fleet_pb2.Configuration(version=version, source=text)
 
 
-async def put_thirty(node):
-    """Thirty versions, each accepted."""
+async def put_30_versions(node):
+    """Puts thirty versions, each of which must be accepted."""
     for version in range(1, 31):
         wanted = configuration(version, b"%d" % version)
-        outcome = await sent_again(node.control.configure, wanted)
+        outcome = await retry_while_unavailable(node.control.configure, wanted)
         assert outcome == Accepted(version)
 
 
@@ -142,10 +142,12 @@
         async with three_nodes(tmp_path) as nodes:
             for version, node in enumerate(nodes, 1):
                 wanted = configuration(version, b"%d" % version)
-                outcome = await sent_again(node.control.configure, wanted)
+                outcome = await retry_while_unavailable(
+                    node.control.configure, wanted
+                )
                 assert outcome == Accepted(version)
                 for reader in nodes:
-                    text = await sent_again(reader.control.read)
+                    text = await retry_while_unavailable(reader.control.read)
                     assert text == b"%d" % version
 
     run(scenario())
@@ -156,29 +158,41 @@
 ):
     async def scenario():
         async with three_nodes(tmp_path) as nodes:
-            await sent_again(
+            await retry_while_unavailable(
                 nodes[0].control.configure, configuration(5, b"first")
             )
             for version in (5, 4):
                 for node in nodes:
-                    outcome = await sent_again(
+                    outcome = await retry_while_unavailable(
                         node.control.configure, configuration(version, b"other")
                     )
                     assert outcome == Accepted(5)
-                    assert await sent_again(node.control.read) == b"first"
+                    assert (
+                        await retry_while_unavailable(node.control.read)
+                        == b"first"
+                    )
 
     run(scenario())
 
 
-def test_of_two_under_one_version_one_holds_everywhere(run, tmp_path):
+def test_of_two_configurations_of_one_version_one_prevails_everywhere(
+    run, tmp_path
+):
     async def scenario():
         async with three_nodes(tmp_path) as nodes:
             outcomes = await asyncio.gather(
-                sent_again(nodes[0].control.configure, configuration(7, b"a")),
-                sent_again(nodes[1].control.configure, configuration(7, b"b")),
+                retry_while_unavailable(
+                    nodes[0].control.configure, configuration(7, b"a")
+                ),
+                retry_while_unavailable(
+                    nodes[1].control.configure, configuration(7, b"b")
+                ),
             )
             assert outcomes == [Accepted(7), Accepted(7)]
-            read = {await sent_again(node.control.read) for node in nodes}
+            read = {
+                await retry_while_unavailable(node.control.read)
+                for node in nodes
+            }
             assert len(read) == 1
 
     run(scenario())
@@ -196,34 +210,36 @@
     run(scenario())
 
 
-def test_a_node_alone_promises_and_reads_nothing(run, tmp_path):
+def test_an_isolated_node_refuses_changes_and_reads(run, tmp_path):
     async def scenario():
         async with three_nodes(tmp_path) as nodes:
-            await sent_again(nodes[0].control.configure, configuration(1))
-            alone = followers(nodes)[0]
+            await retry_while_unavailable(
+                nodes[0].control.configure, configuration(1)
+            )
+            isolated = followers(nodes)[0]
             for node in nodes:
-                if node is not alone:
+                if node is not isolated:
                     await node.stop()
-            # A stopped gRPC server still answers on connections it has; a
-            # process that is gone doesn't.
-            alone.channels.close()
-            put = await alone.control.configure(configuration(2))
+            # A stopped gRPC server still answers on open connections; a
+            # process that has ended does not.
+            isolated.channels.close()
+            put = await isolated.control.configure(configuration(2))
             assert isinstance(put, Unavailable)
-            assert isinstance(await alone.control.read(), Unavailable)
+            assert isinstance(await isolated.control.read(), Unavailable)
             leaving = fleet_pb2.TargetState(
                 id="t", phase=fleet_pb2.TARGET_DRAINING, sequence=3,
                 service="s", address="10.0.0.1:1",
             )  # fmt: skip
-            assert not await alone.control.announce("t", leaving)
+            assert not await isolated.control.announce("t", leaving)
             ready = fleet_pb2.TargetState(
                 id="u", sequence=1, service="s", address="10.0.0.1:2"
             )
-            assert await alone.control.announce("u", ready) is True
+            assert await isolated.control.announce("u", ready) is True
 
     run(scenario())
 
 
-def test_what_one_node_hears_reaches_watchers_of_another(run, tmp_path):
+def test_what_one_node_receives_reaches_watchers_of_another(run, tmp_path):
     async def scenario():
         async with three_nodes(tmp_path) as nodes:
             view = FleetView()
@@ -238,24 +254,24 @@
             watching = asyncio.create_task(watcher.run())
             named = configuration(3)
             named.services.add(name="s")
-            await sent_again(nodes[0].control.configure, named)
-            await until(lambda: view.version == 3)
+            await retry_while_unavailable(nodes[0].control.configure, named)
+            await wait_until(lambda: view.version == 3)
             assert set(view.control_addresses) == {n.address for n in nodes}
             leaving = fleet_pb2.TargetState(
                 id="t", phase=fleet_pb2.TARGET_DRAINING, sequence=3,
                 service="s", address="10.0.0.1:1", born_ms=1000,
             )  # fmt: skip
             assert await nodes[0].control.announce("t", leaving) is True
-            await until(lambda: "t" in view.book.targets_by_id)
-            # The last word doesn't tell which start it ends.
-            gone = fleet_pb2.TargetState(id="t", phase=fleet_pb2.TARGET_GONE)
-            assert await nodes[1].control.leave("t", gone) is True
-            await until(lambda: "t" not in view.book.targets_by_id)
-            await sent_again(
+            await wait_until(lambda: "t" in view.book.targets_by_id)
+            # The last announcement does not state which start it ends.
+            ended = fleet_pb2.TargetState(id="t", phase=fleet_pb2.TARGET_GONE)
+            assert await nodes[1].control.leave("t", ended) is True
+            await wait_until(lambda: "t" not in view.book.targets_by_id)
+            await retry_while_unavailable(
                 nodes[0].control.name_weights,
                 fleet_pb2.WeightGoal(model="m", version=2),
             )
-            await until(lambda: view.goal_by_model.get("m") is not None)
+            await wait_until(lambda: view.goal_by_model.get("m") is not None)
             watching.cancel()
             await asyncio.gather(watching, return_exceptions=True)
             channels.close()
@@ -274,7 +290,7 @@
         other = FleetState()
         other.restore(state.snapshot())
         assert other.version == 4
-        assert other.weights_version("m") == 2
+        assert other.desired_version("m") == 2
         assert other.configuration == state.configuration
 
     asyncio.run(scenario())
@@ -298,25 +314,27 @@
 
 
 @pytest.mark.parametrize("named", [1, 2, 3])
-def test_a_goal_goes_before_the_record_whichever_came_first(loop, named):
+def test_a_desired_version_takes_precedence_over_a_record(loop, named):
     async def scenario():
         for commands in (
             (record_served(2), name_weights(named)),
             (name_weights(named), record_served(2)),
         ):
             state = applied(*commands)
-            assert state.weights_version("m") == named
+            assert state.desired_version("m") == named
             assert state.served_by_model == {}
-            timed = [version for version, _ in state.goal_times.of("m")]
-            assert timed == [named]
+            timed_versions = [
+                version for version, _ in state.version_times.retained("m")
+            ]
+            assert timed_versions == [named]
 
     loop.run(scenario())
 
 
-def test_the_first_record_stands():
+def test_the_first_record_prevails():
     state = applied(record_served(2), record_served(3), record_served(1))
     assert state.served_by_model == {"m": 2}
-    assert state.weights_version("m") == 0
+    assert state.desired_version("m") == 0
 
 
 def test_a_record_survives_its_snapshot():
@@ -333,28 +351,30 @@
         image = fleet_pb2.FleetImage(goals=[goal])
         state = applied(record_served(5))
         state.restore(image.SerializeToString())
-        assert state.weights_version("m") == 2
+        assert state.desired_version("m") == 2
         assert state.served_by_model == {}
 
     loop.run(scenario())
 
 
-def test_the_recorded_version_can_still_be_named(run, tmp_path):
-    """It is acknowledged as a goal, with an age that begins then."""
+def test_the_recorded_version_can_become_the_desired_one(run, tmp_path):
+    """It becomes the desired version, whose age counts from then on."""
 
     async def scenario():
         async with three_nodes(tmp_path) as nodes:
-            served = await sent_again(nodes[0].control.commit, record_served(1))
+            served = await retry_while_unavailable(
+                nodes[0].control.commit, record_served(1)
+            )
             assert served == Accepted(1)
             goal = fleet_pb2.WeightGoal(model="m", version=1)
             named = [
-                await sent_again(node.control.name_weights, goal)
+                await retry_while_unavailable(node.control.name_weights, goal)
                 for node in nodes
             ]
             assert named == [Accepted(1)] * 3
             states = [node.state for node in nodes]
-            await until(
-                lambda: all(s.weights_version("m") == 1 for s in states)
+            await wait_until(
+                lambda: all(s.desired_version("m") == 1 for s in states)
             )
             assert all(not state.served_by_model for state in states)
 
@@ -364,10 +384,13 @@
 def test_a_record_survives_control_and_reaches_watchers(run, tmp_path):
     async def scenario():
         async with three_nodes(tmp_path) as nodes:
-            served = await sent_again(nodes[0].control.commit, record_served(1))
+            served = await retry_while_unavailable(
+                nodes[0].control.commit, record_served(1)
+            )
             assert isinstance(served, Accepted)
-            # Enough for snapshots, so that it doesn't stand in the log alone.
-            await put_thirty(nodes[0])
+            # Enough entries for snapshots, so that the record is not only in
+            # the log.
+            await put_30_versions(nodes[0])
             assert nodes[0].replica.log.snapshot.index > 0
             addresses = [node.address for node in nodes]
         async with three_nodes(tmp_path, addresses) as nodes:
@@ -377,7 +400,7 @@
                 lambda: fleet_pb2.WatchRequest(name="a"),
             )  # fmt: skip
             watching = asyncio.create_task(watcher.run())
-            await until(lambda: view.served_by_model == {"m": 1})
+            await wait_until(lambda: view.served_by_model == {"m": 1})
             assert view.goal_by_model == {}
             watching.cancel()
             await asyncio.gather(watching, return_exceptions=True)
@@ -386,17 +409,15 @@
     run(scenario())
 
 
-def test_nodes_that_restart_from_a_snapshot_hold_what_they_promised(
-    run, tmp_path
-):
+def test_nodes_restarted_from_a_snapshot_hold_what_they_accepted(run, tmp_path):
     async def scenario():
         async with three_nodes(tmp_path) as nodes:
-            await put_thirty(nodes[0])
+            await put_30_versions(nodes[0])
             assert nodes[0].replica.log.snapshot.index > 0
             addresses = [node.address for node in nodes]
         async with three_nodes(tmp_path, addresses) as nodes:
             for node in nodes:
-                assert await sent_again(node.control.read) == b"30"
+                assert await retry_while_unavailable(node.control.read) == b"30"
 
     run(scenario())
 
@@ -404,15 +425,15 @@
 def test_each_refusal_is_counted_and_logged_by_its_reason(
     run, tmp_path, caplog
 ):
-    """Operators' refusals in calm could not be told apart afterwards."""
+    """Guards against refusals whose causes cannot be told apart later."""
 
     async def scenario():
         async with three_nodes(tmp_path) as nodes:
-            alone, *gone = nodes
-            for node in gone:
+            isolated, *ended = nodes
+            for node in ended:
                 await node.stop()
             with caplog.at_level("INFO"):
-                refusal = await alone.control.read()
+                refusal = await isolated.control.read()
             assert isinstance(refusal, Unavailable)
             return refusal.reason
 
@@ -427,23 +448,25 @@
 
 
 @pytest.fixture
-def patient(monkeypatch):
-    """Control nodes with time for an election on a busy machine."""
-    monkeypatch.setattr(_fleet_control, "_COMMIT_TIMEOUT_S", PATIENCE_S)
-    monkeypatch.setattr(_fleet_control, "_READ_TIMEOUT_S", PATIENCE_S)
-    monkeypatch.setattr(_fleet_control, "_ELECTION_S", PATIENCE_S)
+def long_timeouts(monkeypatch):
+    """Timeouts long enough for an election on a busy machine."""
+    monkeypatch.setattr(_fleet_control, "_COMMIT_TIMEOUT_S", LONG_TIMEOUT_S)
+    monkeypatch.setattr(_fleet_control, "_READ_TIMEOUT_S", LONG_TIMEOUT_S)
+    monkeypatch.setattr(_fleet_control, "_MAX_LEADERLESS_S", LONG_TIMEOUT_S)
 
 
-@pytest.mark.usefixtures("patient")
-def test_a_change_beside_a_handover_is_taken_by_the_new_leader(run, tmp_path):
-    """It was refused by the former leader and by who still asked that one."""
+@pytest.mark.usefixtures("long_timeouts")
+def test_a_change_during_a_leadership_transfer_is_accepted(run, tmp_path):
+    """Guards against refusals by the former leader and by its followers."""
 
     async def scenario():
         async with three_nodes(tmp_path) as nodes:
-            await sent_again(nodes[0].control.configure, configuration(1))
+            await retry_while_unavailable(
+                nodes[0].control.configure, configuration(1)
+            )
             leader = next(n for n in nodes if n.replica.is_leader)
-            handing_over = asyncio.create_task(
-                leader.replica.hand_over(HAND_OVER_S)
+            transfer = asyncio.create_task(
+                leader.replica.hand_over(TRANSFER_TIMEOUT_S)
             )
             await asyncio.sleep(0)
             answers = await asyncio.gather(
@@ -452,27 +475,27 @@
                     for number, node in enumerate([leader, *followers(nodes)])
                 )
             )
-            assert await handing_over
+            assert await transfer
             assert all(isinstance(answer, Accepted) for answer in answers)
             assert await leader.control.read() == b"text"
 
     run(scenario())
 
 
-@pytest.mark.usefixtures("patient")
+@pytest.mark.usefixtures("long_timeouts")
 @pytest.mark.parametrize("call", ["put", "read"])
-def test_a_call_after_the_leader_is_gone_waits_for_the_next(
-    run, tmp_path, call
-):
-    """It was refused at once, though a leader was there within its time."""
+def test_a_call_after_the_leader_ended_waits_for_the_next(run, tmp_path, call):
+    """Guards against a refusal although a leader is elected in time."""
 
     async def scenario():
         async with three_nodes(tmp_path) as nodes:
-            await sent_again(nodes[0].control.configure, configuration(1))
-            gone = next(n for n in nodes if n.replica.is_leader)
+            await retry_while_unavailable(
+                nodes[0].control.configure, configuration(1)
+            )
+            ended = next(n for n in nodes if n.replica.is_leader)
             asked = next(n for n in nodes if not n.replica.is_leader)
-            await gone.stop()
-            # A stopped gRPC server still answers on connections it has.
+            await ended.stop()
+            # A stopped gRPC server still answers on open connections.
             asked.channels.close()
             if call == "read":
                 assert await asked.control.read() == b"text"
@@ -483,79 +506,85 @@
     run(scenario())
 
 
-@pytest.mark.usefixtures("patient")
+@pytest.mark.usefixtures("long_timeouts")
 @pytest.mark.parametrize("is_behind", [False, True])
-def test_a_read_at_a_node_that_ends_is_refused_at_once(
-    run, tmp_path, is_behind
-):
-    """It waited for what couldn't come, and was cut off with a 500."""
+def test_a_read_at_a_stopped_node_is_refused_at_once(run, tmp_path, is_behind):
+    """Guards against a read that waits until it ends with status 500."""
 
     async def scenario():
         async with three_nodes(tmp_path) as nodes:
-            await sent_again(nodes[0].control.configure, configuration(1))
+            await retry_while_unavailable(
+                nodes[0].control.configure, configuration(1)
+            )
             ending, *others = followers(nodes)
             await ending.replica.stop()
             if is_behind:
-                await sent_again(others[0].control.configure, configuration(2))
+                await retry_while_unavailable(
+                    others[0].control.configure, configuration(2)
+                )
             else:
                 ending.replica.leader_id = ""
-            async with asyncio.timeout(AT_ONCE_S):
+            async with asyncio.timeout(PROMPT_REFUSAL_S):
                 assert isinstance(await ending.control.read(), Unavailable)
 
     run(scenario())
 
 
-def test_a_put_that_comes_while_its_leader_hands_over_is_not_refused(
-    run, tmp_path
-):
+def test_a_put_at_a_leader_during_its_transfer_is_not_refused(run, tmp_path):
     async def scenario():
         async with three_nodes(tmp_path) as nodes:
-            await sent_again(nodes[0].control.configure, configuration(1))
+            await retry_while_unavailable(
+                nodes[0].control.configure, configuration(1)
+            )
             leader = next(node for node in nodes if node.replica.is_leader)
-            handing_over = asyncio.create_task(leader.replica.hand_over(5.0))
-            # So that the handover has begun.
+            transfer = asyncio.create_task(leader.replica.hand_over(5.0))
+            # Lets the leadership transfer begin.
             await asyncio.sleep(0)
             assert leader.replica.is_leader
             put = await leader.control.configure(configuration(2))
-            assert await handing_over
+            assert await transfer
             return put
 
     assert run(scenario()) == Accepted(2)
 
 
-def test_a_put_forwarded_to_a_leader_that_hands_over_is_not_refused(
-    run, tmp_path
-):
+def test_a_put_forwarded_during_a_transfer_is_not_refused(run, tmp_path):
     async def scenario():
         async with three_nodes(tmp_path) as nodes:
-            await sent_again(nodes[0].control.configure, configuration(1))
+            await retry_while_unavailable(
+                nodes[0].control.configure, configuration(1)
+            )
             leader = next(node for node in nodes if node.replica.is_leader)
-            # What is forwarded meanwhile comes to it as it hands over.
-            handing_over = asyncio.create_task(leader.replica.hand_over(5.0))
+            # Forwarded changes reach the leader during the transfer.
+            transfer = asyncio.create_task(leader.replica.hand_over(5.0))
             puts = [
                 node.control.configure(configuration(2))
                 for node in followers(nodes)
             ]
             outcomes = await asyncio.gather(*puts)
-            assert await handing_over
+            assert await transfer
             return outcomes
 
     assert run(scenario()) == [Accepted(2)] * 2
 
 
 @pytest.mark.parametrize("call", ["put", "read"])
-def test_a_leader_that_answers_nothing_is_told_as_unavailable(
+def test_a_leader_that_does_not_answer_is_reported_as_unavailable(
     run, tmp_path, monkeypatch, call
 ):
-    """A 500, as two timeouts of one call ended in the same step."""
-    hanging = []
+    """Guards against status 500.
+
+    It came about when two timeouts of one call expired in the same step of the
+    event loop.
+    """
+    hang_flag = []
     serve_by_name = {
         name: getattr(FleetService, name) for name in ("Forward", "ReadIndex")
     }
 
-    def may_hang(name):
+    def hang_on_demand(name):
         async def serve(self, stream):
-            if hanging:
+            if hang_flag:
                 await asyncio.Event().wait()
             await serve_by_name[name](self, stream)
 
@@ -563,8 +592,10 @@
 
     async def scenario():
         async with three_nodes(tmp_path) as nodes:
-            await sent_again(nodes[0].control.configure, configuration(1))
-            hanging.append(True)
+            await retry_while_unavailable(
+                nodes[0].control.configure, configuration(1)
+            )
+            hang_flag.append(True)
             asked = followers(nodes)[0].control
             calls = [
                 asked.read() if call == "read" else asked.configure(each)
@@ -573,6 +604,6 @@
             return await asyncio.gather(*calls, return_exceptions=True)
 
     for name in serve_by_name:
-        monkeypatch.setattr(FleetService, name, may_hang(name))
+        monkeypatch.setattr(FleetService, name, hang_on_demand(name))
     outcomes = run(scenario())
     assert {type(outcome) for outcome in outcomes} == {Unavailable}
--- a/damaskcroft/control/tests/test_fleet_service.py
+++ b/damaskcroft/control/tests/test_fleet_service.py
@@ -1,4 +1,4 @@
-"""What a control node tells its watchers of goals and their ages."""
+"""Updates that a control node sends to watchers: ages, batches, merging."""
 
 import asyncio
 
@@ -12,8 +12,8 @@
 WEIGHTS_S = 8.0
 
 
-class Stream:
-    """One watcher's stream, which hands each update to a view."""
+class WatchStream:
+    """Stream of one watcher, which applies each update to a view."""
 
     def __init__(self, view, name="e"):
         self.view = view
@@ -26,8 +26,8 @@
         self.view.apply_update(update)
 
 
-class FrozenStream(Stream):
-    """One whose watcher reads nothing for a while."""
+class FrozenStream(WatchStream):
+    """Stream of a watcher that reads nothing until it resumes."""
 
     def __init__(self, view):
         super().__init__(view)
@@ -39,14 +39,14 @@
         else:
             self.unread.append(update)
 
-    def thaw(self):
+    def resume(self):
         for update in self.unread:
             self.view.apply_update(update)
         self.unread = None
 
 
 class Leader:
-    """A replica that commits whatever is proposed."""
+    """A replica that commits every proposal at once."""
 
     def __init__(self, state):
         self._state = state
@@ -59,7 +59,7 @@
 
 
 class Node:
-    """A control node's state and service, without consensus."""
+    """State and service of a control node, without consensus."""
 
     def __init__(self):
         self.state = FleetState()
@@ -82,7 +82,7 @@
         )
 
     def watch(self, stream):
-        """Tells a stream all, then changes until the task is cancelled."""
+        """Starts to watch on a stream, until the task is cancelled."""
         return asyncio.create_task(self.service.Watch(stream))
 
 
@@ -92,8 +92,8 @@
 
 
 @pytest.fixture
-def play(loop):
-    """Runs a scenario with a control node that has run for a while."""
+def run_scenario(loop):
+    """Runs a scenario with a control node started a minute before."""
 
     def run(scenario):
         async def started():
@@ -106,14 +106,13 @@
     return run
 
 
-def test_a_goal_from_a_snapshot_has_not_the_age_of_the_one_before(play):
-    """A new version was told with the age of the version before it.
+def test_a_version_from_a_snapshot_does_not_get_an_earlier_age(run_scenario):
+    """Guards against a new version sent with the age of the one before.
 
-    A control node that had been cut off got version 3 by a snapshot and told
-    it with the time at which it had taken version 2. Since the earliest word
-    counts, every entry then held version 3 to be due at once, while no target
-    could serve it yet. Evidence: `restore` left the times of goals as they
-    were, by model.
+    A partitioned control node got version 3 by a snapshot, and `restore` left
+    the time of the desired version as it was, which was that of version 2.
+    Because the earliest time counts, every entry took version 3 to be due at
+    once, while no target could serve it yet.
     """
 
     async def scenario(node):
@@ -121,24 +120,25 @@
         await asyncio.sleep(20)
         node.state.restore(image(3))
         view = FleetView()
-        knowing = fleet_pb2.WeightGoal(model="m", version=3, age_ms=1000)
-        view.apply_update(fleet_pb2.FleetUpdate(goals=[knowing]))
-        watching = node.watch(Stream(view))
+        aged = fleet_pb2.WeightGoal(model="m", version=3, age_ms=1000)
+        view.apply_update(fleet_pb2.FleetUpdate(goals=[aged]))
+        watching = node.watch(WatchStream(view))
         await asyncio.sleep(0.01)
         watching.cancel()
         assert view.due_version("m", WEIGHTS_S) < 3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_entry_that_starts_late_knows_when_an_older_version_is_due(play):
-    """A new entry sent to weights whose time had passed 3 s before.
+def test_an_entry_that_starts_late_knows_when_older_versions_are_due(
+    run_scenario,
+):
+    """Guards against a new entry that uses weights 3 s too long.
 
-    Versions 2 and 3 were named 3 s apart, and the entry began to watch a
-    second later. It was told of version 3 alone, with its age, and so let
-    requests begin on version 1 until that one was due, though version 2
-    forbids that 3 s sooner. Evidence: a control node kept and told the newest
-    goal's time only.
+    Versions 2 and 3 were set 3 s apart, and the entry began to watch a second
+    later. The control node kept and sent the time of the newest version only,
+    so the entry began requests on version 1 until version 3 was due, although
+    version 2 forbids that 3 s earlier.
     """
 
     async def scenario(node):
@@ -147,7 +147,7 @@
         node.name_weights(3)
         await asyncio.sleep(1)
         view = FleetView()
-        watching = node.watch(Stream(view))
+        watching = node.watch(WatchStream(view))
         await asyncio.sleep(0.01)
         watching.cancel()
         assert view.goal_by_model["m"].version == 3
@@ -157,17 +157,19 @@
         await asyncio.sleep(3)
         assert view.due_version("m", WEIGHTS_S) == 3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_frozen_entry_learns_how_old_a_goal_was_when_it_read_of_it(play):
-    """An entry that had been frozen gave old weights as much more time.
+def test_a_frozen_entry_learns_the_age_of_a_version_when_it_resumes(
+    run_scenario,
+):
+    """Guards against a frozen entry that uses old weights too long.
 
-    Version 2 was named while the entry was frozen for 1.5 s. The update lay
-    in its connection meanwhile; read at last, it told an age of 0. Silence is
-    borne for 2 s, so the stream stayed open, and over one stream a goal was
-    told once: the entry held version 2 to be due 9.5 s after its acceptance.
-    A link that loses packets for a moment does the same.
+    Version 2 was set while the entry was frozen for 1.5 s. The update waited in
+    the connection and stated an age of 0 when it was read. The stream stayed
+    open, because silence is tolerated for 2 s, and each desired version was
+    sent once per stream: the entry took version 2 to be due 9.5 s after its
+    acceptance. A link that loses packets for a moment has the same effect.
     """
 
     async def scenario(node):
@@ -177,58 +179,60 @@
         await asyncio.sleep(0.01)
         node.name_weights(2)
         await asyncio.sleep(1.5)
-        stream.thaw()
+        stream.resume()
         await asyncio.sleep(WEIGHTS_S - 1.4)
         assert view.due_version("m", WEIGHTS_S) == 2
         watching.cancel()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_node_that_took_a_goal_late_tells_what_the_others_know(play):
-    """A control node that had been cut off told everyone too small an age.
+def test_a_node_that_applied_a_version_late_sends_the_age_of_others(
+    run_scenario,
+):
+    """Guards against a partitioned control node that sends too small an age.
 
-    It took version 2 from the log 5 s after its acceptance and told an age of
-    0, though the other nodes, which it follows as entries do, had told it
-    better. An entry that started then, and reached it first or alone, gave
-    old weights 5 s more. A node that had restarted told no age at all, and
-    the entry gave old weights no time. Evidence: a node told its own times
-    only.
+    A node sent its own times only. It applied version 2 from the log 5 s after
+    its acceptance and sent an age of 0, although the other nodes, which it
+    watches as entries do, had sent the right one. An entry that started then
+    and reached this node first or alone used old weights for 5 s too long. A
+    restarted node sent no age at all, and the entry stopped using old weights
+    at once.
     """
 
     async def scenario(node):
-        others = fleet_pb2.WeightGoal(model="m", version=2, age_ms=5000)
+        aged = fleet_pb2.WeightGoal(model="m", version=2, age_ms=5000)
         node.name_weights(2)
-        node.view.apply_update(fleet_pb2.FleetUpdate(goals=[others]))
-        assert await due_after(node, 2.9) == 0
-        assert await due_after(node, 0.2) == 2
-        others = fleet_pb2.WeightGoal(model="m", version=3, age_ms=1000)
+        node.view.apply_update(fleet_pb2.FleetUpdate(goals=[aged]))
+        assert await due_version_after(node, 2.9) == 0
+        assert await due_version_after(node, 0.2) == 2
+        aged = fleet_pb2.WeightGoal(model="m", version=3, age_ms=1000)
         node.state.restore(image(3))
-        node.view.apply_update(fleet_pb2.FleetUpdate(goals=[others]))
-        assert await due_after(node, 6.9) == 2
-        assert await due_after(node, 0.2) == 3
+        node.view.apply_update(fleet_pb2.FleetUpdate(goals=[aged]))
+        assert await due_version_after(node, 6.9) == 2
+        assert await due_version_after(node, 0.2) == 3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-async def due_after(node, seconds):
-    """What is due for an entry that begins to watch a while from now."""
+async def due_version_after(node, seconds):
+    """The version due for an entry that starts to watch after a delay."""
     await asyncio.sleep(seconds)
     view = FleetView()
-    watching = node.watch(Stream(view))
+    watching = node.watch(WatchStream(view))
     await asyncio.sleep(0.01)
     watching.cancel()
     return view.due_version("m", WEIGHTS_S)
 
 
-def test_a_version_accepted_right_after_a_start_is_not_taken_for_old(loop):
-    """All targets were left for some seconds after control had restarted.
+def test_a_version_accepted_soon_after_a_start_has_its_age(loop):
+    """Guards against entries that send no requests after control restarts.
 
-    All of control had been killed and was back, and within 3 s version 2 was
-    named. What a node applies that soon after its start may be a replay, so
-    no node told an age, and entries held version 2 to be due at once, while
-    no target could serve it yet. Evidence: the leader, which accepts a
-    version and so knows when that was, told no age either.
+    All control nodes had been killed, and version 2 was set within 3 s of their
+    restart. An entry applied that early may be replayed from the log, so no
+    node sent an age, not even the leader, which knows the time because it
+    accepted the version. Entries took version 2 to be due at once, while no
+    target could serve it yet, and used no target for some seconds.
     """
 
     async def scenario():
@@ -238,7 +242,7 @@
         await node.accept_weights(2)
         await asyncio.sleep(1)
         view = FleetView()
-        watching = node.watch(Stream(view))
+        watching = node.watch(WatchStream(view))
         await asyncio.sleep(0.01)
         watching.cancel()
         assert view.due_version("m", WEIGHTS_S) == 1
@@ -247,8 +251,8 @@
     loop.run(scenario())
 
 
-class CountingStream(Stream):
-    """One that counts what it is sent."""
+class CountingStream(WatchStream):
+    """Stream that counts the updates sent to it."""
 
     def __init__(self, view):
         super().__init__(view)
@@ -259,7 +263,7 @@
         await super().send_message(update)
 
 
-def agent_word(number, sequence, **fields):
+def agent_state(number, sequence, **fields):
     return fleet_pb2.AgentState(
         address=f"10.0.0.{number}:1",
         incarnation="one",
@@ -268,50 +272,50 @@
     )
 
 
-def test_renewals_wake_watchers_seldom(play):
-    """Before: 56 updates a second, one for each agent's renewal.
+def test_renewals_are_sent_in_few_updates(run_scenario):
+    """Guards against one update for each agent's renewal: 56 a second.
 
-    While a version changes each agent tells every second that it still guards
-    its target. With 55 agents, 96 watchers and five control nodes these were
-    26,000 updates a second, and as many decoded.
+    During a change of version each agent announces every second that it still
+    guards its target. With 55 agents, 96 watchers and five control nodes these
+    were 26,000 updates a second to encode and to decode.
     """
 
     async def scenario(node):
         watcher = CountingStream(FleetView())
         node.watch(watcher)
         for number in range(55):
-            node.view.take([], [agent_word(number, 1)])
+            node.view.take([], [agent_state(number, 1)])
         await asyncio.sleep(1.0)
         before = watcher.sent
         for number in range(55):
-            node.view.take([], [agent_word(number, 2)])
+            node.view.take([], [agent_state(number, 2)])
             await asyncio.sleep(1.0 / 55)
         await asyncio.sleep(0.3)
         assert watcher.sent - before <= 8
         known = watcher.view.agents_by_address.values()
         assert {agent.sequence for agent in known} == {2}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_news_of_an_agent_are_told_at_once(play):
+def test_a_change_of_an_agent_is_sent_at_once(run_scenario):
     async def scenario(node):
         watcher = CountingStream(FleetView())
         node.watch(watcher)
-        node.view.take([], [agent_word(1, 1)])
+        node.view.take([], [agent_state(1, 1)])
         await asyncio.sleep(0.3)
-        node.view.take([], [agent_word(1, 2)])
-        switching = agent_word(1, 3, phase=fleet_pb2.AGENT_SWITCHING)
+        node.view.take([], [agent_state(1, 2)])
+        switching = agent_state(1, 3, phase=fleet_pb2.AGENT_SWITCHING)
         node.view.take([], [switching])
         await asyncio.sleep(0.01)
         known = watcher.view.agents_by_address["10.0.0.1:1"]
         assert known.phase == fleet_pb2.AGENT_SWITCHING
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_news_of_many_agents_come_in_few_updates(play):
-    """Before: 123 updates, almost one for each word of 41 agents."""
+def test_changes_of_many_agents_are_sent_in_few_updates(run_scenario):
+    """Guards against one update for almost every announcement: 123 here."""
 
     async def scenario(node):
         watcher = CountingStream(FleetView())
@@ -321,51 +325,54 @@
         for sequence in range(1, 4):
             for number in range(41):
                 held = fleet_pb2.HeldLayers(model="m", version=sequence)
-                node.view.take([], [agent_word(number, sequence, held=[held])])
+                node.view.take([], [agent_state(number, sequence, held=[held])])
                 await asyncio.sleep(1.0 / 123)
         await asyncio.sleep(0.06)
         assert watcher.sent - before <= 25
         known = watcher.view.agents_by_address.values()
         assert {agent.sequence for agent in known} == {3}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_what_takes_a_target_out_is_told_at_once_among_other_news(play):
-    """It may be told to load 30 ms later; before, news waited up to 50 ms."""
+def test_a_target_taken_out_is_sent_at_once_among_other_changes(run_scenario):
+    """Guards against a delay of up to 50 ms.
+
+    The target may be ordered to load 30 ms later.
+    """
 
     async def scenario(node):
         watcher = CountingStream(FleetView())
         node.watch(watcher)
         await asyncio.sleep(0.3)
         for number in range(9):
-            node.view.take([], [agent_word(number, 1)])
+            node.view.take([], [agent_state(number, 1)])
             await asyncio.sleep(0.006)
-            node.view.take([], [agent_word(number, 2)])
-            switching = agent_word(number, 3, phase=fleet_pb2.AGENT_SWITCHING)
+            node.view.take([], [agent_state(number, 2)])
+            switching = agent_state(number, 3, phase=fleet_pb2.AGENT_SWITCHING)
             node.view.take([], [switching])
             await asyncio.sleep(0.01)
             known = watcher.view.agents_by_address[switching.address]
             assert known.phase == fleet_pb2.AGENT_SWITCHING
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-class Asking:
-    """A watcher that asks for the configuration."""
+class ConfigurationStream:
+    """Stream of a call that requests the configuration."""
 
     def __init__(self, **fields):
         self.fields = fields
-        self.got = None
+        self.reply = None
 
     async def recv_message(self):
         return fleet_pb2.ConfigurationRequest(**self.fields)
 
     async def send_message(self, reply):
-        self.got = reply
+        self.reply = reply
 
 
-def test_each_watcher_gets_the_newest_configuration_as_it_asks(play):
+def test_each_watcher_gets_the_newest_configuration_it_requests(run_scenario):
     def configured(node, version):
         configuration = fleet_pb2.Configuration(
             version=version,
@@ -376,34 +383,36 @@
         command = fleet_pb2.FleetCommand(configure=configuration)
         node.state.apply(1, command.SerializeToString())
 
-    async def asked(node, **fields):
-        asking = Asking(**fields)
-        await node.service.GetConfiguration(asking)
-        return asking.got.configuration
+    async def fetch(node, **fields):
+        stream = ConfigurationStream(**fields)
+        await node.service.GetConfiguration(stream)
+        return stream.reply.configuration
 
     async def scenario(node):
         for version in (3, 4):
             configured(node, version)
             for _ in range(2):
-                whole = await asked(node)
+                whole = await fetch(node)
                 assert whole.version == version
                 assert [r.name for r in whole.routes] == [f"r{version}"]
                 assert whole.source == b""
-                without = await asked(node, without_routes=True)
+                without = await fetch(node, without_routes=True)
                 assert [s.name for s in without.services] == ["s"]
                 assert not without.routes
-            assert not (await asked(node, above_version=version)).version
+            assert not (await fetch(node, above_version=version)).version
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_crash_reports_of_several_entries_reach_each_watcher_whole(play):
-    """Each of twelve entries lost one request with the same target."""
+def test_crash_reports_of_several_entries_reach_each_watcher_whole(
+    run_scenario,
+):
+    """Twelve entries each lose one request when the same target crashes."""
     names = [b"lost at %d" % n for n in range(12)]
 
     async def scenario(node):
         view = FleetView()
-        watching = node.watch(Stream(view))
+        watching = node.watch(WatchStream(view))
         await asyncio.sleep(0.01)
         for name in names:
             report = quarantine_pb2.TargetCrash(
@@ -416,14 +425,14 @@
         watching.cancel()
         assert [n for n in names if not view.crashes.is_suspect(n)] == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_entries_hear_of_each_other_and_of_who_left(play):
+def test_entries_learn_which_entries_joined_and_left(run_scenario):
     async def scenario(node):
         view = FleetView()
-        watching = node.watch(Stream(view, "a"))
-        other = node.watch(Stream(FleetView(), "b"))
+        watching = node.watch(WatchStream(view, "a"))
+        other = node.watch(WatchStream(FleetView(), "b"))
         await asyncio.sleep(0.2)
         assert view.entry_names.names() == {"a", "b"}
         other.cancel()
@@ -431,22 +440,22 @@
         assert view.entry_names.names() == {"a"}
         watching.cancel()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_limit_that_one_entry_heard_of_reaches_the_others(play):
+def test_a_rate_limit_reported_by_one_entry_reaches_the_others(run_scenario):
     async def scenario(node):
         view, later = FleetView(), FleetView()
-        watching = node.watch(Stream(view, "a"))
+        watching = node.watch(WatchStream(view, "a"))
         await asyncio.sleep(0.01)
-        word = limits_pb2.NamedLimit(start_id="t@1", rate_s=2, revision=1)
-        node.view.take([], limits=[word])
+        limit = limits_pb2.NamedLimit(start_id="t@1", rate_s=2, revision=1)
+        node.view.take([], limits=[limit])
         await asyncio.sleep(0.1)
         assert view.limits.rate_s("t@1") == 2
-        joining = node.watch(Stream(later, "b"))
+        joining = node.watch(WatchStream(later, "b"))
         await asyncio.sleep(0.1)
         assert later.limits.rate_s("t@1") == 2
         watching.cancel()
         joining.cancel()
 
-    play(scenario)
+    run_scenario(scenario)
--- a/damaskcroft/control/tests/test_new_leader.py
+++ b/damaskcroft/control/tests/test_new_leader.py
@@ -1,11 +1,11 @@
-"""What holders meet at a control node that has just become the leader.
-
-What happened: while the leader was killed again and again, a new leader's log
-told `waits_out_lease id=drafting-2 wait_s=inf`. An agent that announced itself
-between the election and the leader's first round, a quarter of a second later
-at most, was to wait for a lease that no one had begun to count: for ever. It
-was left without a lease or a configuration until it gave that connection up
-by itself, three seconds later, and its own lease ran out meanwhile.
+"""Leases at a control node that has just become the leader.
+
+Guards against `waits_out_lease id=drafting-2 wait_s=inf`, seen while the leader
+was killed repeatedly. An agent that announced itself after the election but
+before the leader's first round, up to a quarter of a second later, waited for
+ever, because the leader had not started to count the leases of its predecessor.
+The agent had neither a lease nor a configuration until it closed the connection
+three seconds later, and its own lease expired meanwhile.
 """
 
 import asyncio
@@ -21,11 +21,11 @@
 from damaskcroft.membership import LeaseLedger
 
 LEASE_S = 1.5
-ROUND_S = 0.25
+MAX_ROUND_INTERVAL_S = 0.25
 
 
-class Leader:
-    """A replica that leads and commits whatever is proposed."""
+class FakeLeader:
+    """A leading replica that commits every proposal at once."""
 
     def __init__(self, state):
         self.state = state
@@ -51,33 +51,35 @@
 
 
 class HolderStream:
-    """A holder that announces itself and renews, and what it is sent."""
+    """Stream of a holder that announces itself, renews and keeps messages."""
 
     def __init__(self, announcement, send_s=0.0, granted_revision=0):
         self.announcement = announcement
         self.granted_revision = granted_revision
-        self.sends = 0
+        self.received_count = 0
         self.send_s = send_s
-        self.sending = 0
-        self.most_at_once = 0
+        self.concurrent_sends = 0
+        self.max_concurrent_sends = 0
         self.messages = []
 
     async def recv_message(self):
-        self.sends += 1
-        if self.sends == 1:
+        self.received_count += 1
+        if self.received_count == 1:
             return control_pb2.HolderMessage(
                 announce=self.announcement,
                 granted_revision=self.granted_revision,
             )
         await asyncio.sleep(0.1)
-        renewal = control_pb2.Renewal(sequence=self.sends)
+        renewal = control_pb2.Renewal(sequence=self.received_count)
         return control_pb2.HolderMessage(renew=renewal)
 
     async def send_message(self, message):
-        self.sending += 1
-        self.most_at_once = max(self.most_at_once, self.sending)
+        self.concurrent_sends += 1
+        self.max_concurrent_sends = max(
+            self.max_concurrent_sends, self.concurrent_sends
+        )
         await asyncio.sleep(self.send_s)
-        self.sending -= 1
+        self.concurrent_sends -= 1
         self.messages.append(message)
 
     @property
@@ -85,12 +87,12 @@
         return [m for m in self.messages if m.WhichOneof("kind") == "lease"]
 
 
-class Control:
-    """A new leader's service, reconciler and ledger."""
+class ControlNode:
+    """Service, reconciler and ledger of a new leader."""
 
     def __init__(self):
         state = ControlState(10**9, 10**6)
-        self.leader = Leader(state)
+        self.leader = FakeLeader(state)
         proposer = Proposer(self.leader, state)
         self.ledger = LeaseLedger(LEASE_S)
         self.reconciler = Reconciler(proposer, self.ledger)
@@ -112,7 +114,7 @@
         return stream
 
     def announce(self, incarnation):
-        """Commits an announcement as an earlier leader did; its revision."""
+        """Commits an announcement as an earlier leader; gives its revision."""
         announcement = self.announcement(incarnation)
         self.leader.commit(control_pb2.Command(announce=announcement))
         return self.leader.index
@@ -126,38 +128,34 @@
 @pytest.fixture
 def control(loop):
     async def make():
-        return Control()
+        return ControlNode()
 
     control = loop.run(make())
     yield control
     loop.run(control.stop())
 
 
-def test_who_comes_before_the_first_round_waits_no_longer_than_a_lease(
-    loop, control
-):
+def test_a_holder_before_the_first_round_waits_at_most_one_lease(loop, control):
     async def scenario():
         stream = control.hold()
         await asyncio.sleep(0.05)
-        # Only now does the leader begin its rounds.
+        # The leader starts its rounds after the announcement.
         control.tasks.append(asyncio.ensure_future(control.reconciler.run()))
-        await asyncio.sleep(LEASE_S + ROUND_S + 0.2)
+        await asyncio.sleep(LEASE_S + MAX_ROUND_INTERVAL_S + 0.2)
         return stream.grants
 
     assert loop.run(scenario())
 
 
-def test_a_second_leadership_counts_leases_from_its_own_beginning(
-    loop, control
-):
+def test_a_second_leadership_counts_leases_from_its_own_start(loop, control):
     async def scenario():
         control.tasks.append(asyncio.ensure_future(control.reconciler.run()))
         await asyncio.sleep(10.0)
         control.leader.is_confirmed_leader = False
-        # Off the beat of its rounds.
+        # The extra 0.1 s keeps the change out of step with the rounds.
         await asyncio.sleep(10.1)
-        # Another node led meanwhile: it heard of a second process, and may
-        # have granted a lease to the first one just now.
+        # Meanwhile another node led: it committed the announcement of a
+        # second process and may have just granted a lease to the first one.
         control.leader.commit(
             control_pb2.Command(announce=control.announcement("two"))
         )
@@ -170,26 +168,26 @@
     assert not loop.run(scenario())
 
 
-def test_two_messages_are_never_sent_at_once_on_one_stream(loop, control):
+def test_messages_of_one_stream_are_sent_one_at_a_time(loop, control):
     async def scenario():
         control.tasks.append(asyncio.ensure_future(control.reconciler.run()))
-        # A holder that reads slowly: a message is on its way for a while.
+        # A holder that reads slowly: sending a message takes a while.
         stream = control.hold(send_s=0.3)
         await asyncio.sleep(10.0)
         return stream
 
     stream = loop.run(scenario())
     assert len(stream.grants) > 3
-    assert stream.most_at_once == 1
+    assert stream.max_concurrent_sends == 1
 
 
-def test_who_holds_a_lease_goes_on_under_a_new_leader(loop, control):
-    """An agent whose leader was killed keeps its lease with the next one.
+def test_a_lease_continues_under_a_new_leader(loop, control):
+    """An agent keeps its lease when the leader changes.
 
-    Each change of leader let all agents' leases lapse for a second or two
-    (`waits_out_lease`, then `lease_lapsed`): the new leader made each of them
-    wait until its own lease of before had run out. Requests that must run
-    once were refused meanwhile.
+    Guards against a new leader that makes each agent wait for the expiry of its
+    own earlier lease. Then each change of leader let the leases of all agents
+    lapse for a second or two (`waits_out_lease`, then `lease_lapsed`), and
+    requests that must run once were refused meanwhile.
     """
 
     async def scenario():
@@ -204,14 +202,16 @@
 
 
 @pytest.mark.parametrize("granted_since", ["nothing", "another process"])
-def test_who_may_meet_another_lease_waits_it_out(loop, control, granted_since):
+def test_a_holder_waits_for_a_lease_that_another_may_have(
+    loop, control, granted_since
+):
     async def scenario():
         revision = control.announce("one")
         if granted_since == "nothing":
-            # Announced to the last leader, which has granted nothing yet.
+            # Announced to the previous leader, which had granted no lease.
             revision = 0
         else:
-            # Another process had the slot, and the lease, in between.
+            # Another process had the id and the lease in between.
             control.announce("two")
             control.announce("one")
         stream = control.hold("one", granted_revision=revision)
--- a/damaskcroft/control/tests/test_rollout.py
+++ b/damaskcroft/control/tests/test_rollout.py
@@ -1,8 +1,9 @@
-"""Which targets are next, and what a target that can't be reached holds up.
+"""Choice of the next targets of a rollout while some are unreachable.
 
-What happened: a target's process could not be reached while its agent could.
-Control logged `assigned target=drafting-0 version=1` and then nothing for a
-minute; the rollout stood still with `max_out 1`, and nothing said why.
+Guards against a rollout that stops without a reason in the log: the process of
+a target could not be reached while its agent could, and with `max_out 1`
+control logged `assigned target=drafting-0 version=1` and nothing more for a
+minute.
 """
 
 import pytest
@@ -27,7 +28,7 @@
     return control_pb2.TargetReport(id=name, manifest=manifest, **values)
 
 
-def out_of_reach(name, manifest="", held_up_ms=LONG_MS):
+def unreachable(name, manifest="", held_up_ms=LONG_MS):
     return report(
         name,
         manifest,
@@ -39,7 +40,10 @@
 
 @pytest.fixture
 def wave():
-    """The next wave for reports; some targets are assigned already."""
+    """Returns a function that chooses the next wave for reports.
+
+    Targets in `assigned` are assigned the new version already.
+    """
 
     def wave(reports, assigned=(), floor=1, max_out=1):
         deployment = records_pb2.Deployment(
@@ -57,27 +61,27 @@
     return wave
 
 
-def names(wave):
+def target_ids(wave):
     return [target.id for target in wave.targets]
 
 
-def test_a_target_out_of_reach_does_not_hold_up_the_others(wave):
-    reports = [out_of_reach("a"), report("b"), report("c")]
-    assert names(wave(reports, assigned=["a"])) == ["b"]
+def test_an_unreachable_target_does_not_delay_the_others(wave):
+    reports = [unreachable("a"), report("b"), report("c")]
+    assert target_ids(wave(reports, assigned=["a"])) == ["b"]
 
 
-def test_a_target_out_of_reach_for_a_moment_is_waited_for(wave):
-    reports = [out_of_reach("a", held_up_ms=500), report("b"), report("c")]
-    assert names(wave(reports, assigned=["a"])) == []
+def test_a_target_unreachable_for_a_moment_is_waited_for(wave):
+    reports = [unreachable("a", held_up_ms=500), report("b"), report("c")]
+    assert target_ids(wave(reports, assigned=["a"])) == []
 
 
-def test_a_target_out_of_reach_does_not_count_for_the_floor(wave):
-    # Its gate is open still, but no request can pass.
-    reports = [out_of_reach("a", OLD), report("b"), report("c")]
-    assert names(wave(reports, assigned=["a"], floor=2)) == []
+def test_an_unreachable_target_does_not_count_for_the_floor(wave):
+    # The target still admits requests, but none can reach it.
+    reports = [unreachable("a", OLD), report("b"), report("c")]
+    assert target_ids(wave(reports, assigned=["a"], floor=2)) == []
 
 
-def test_a_target_that_loads_still_holds_the_others_back(wave):
+def test_a_target_that_is_loading_delays_the_others(wave):
     loading = report(
         "a",
         "",
@@ -86,28 +90,28 @@
         held_up_ms=LONG_MS,
     )
     reports = [loading, report("b"), report("c")]
-    assert names(wave(reports, assigned=["a"])) == []
+    assert target_ids(wave(reports, assigned=["a"])) == []
 
 
-def test_a_wave_names_what_it_waits_for(wave):
-    reports = [out_of_reach("a", held_up_ms=500), report("b"), report("c")]
-    assert wave(reports, assigned=["a"]).waits_for == {
+def test_a_wave_lists_what_delays_its_targets(wave):
+    reports = [unreachable("a", held_up_ms=500), report("b"), report("c")]
+    assert wave(reports, assigned=["a"]).held_up_by_target == {
         "a": control_pb2.HELD_UP_TARGET_UNREACHABLE
     }
 
 
-def test_a_rollout_that_has_ended_waits_for_nothing(wave):
+def test_a_completed_rollout_waits_for_nothing(wave):
     reports = [report("a", NEW), report("b", NEW)]
-    found = wave(reports, assigned=["a", "b"])
-    assert (names(found), found.waits_for) == ([], {})
+    chosen = wave(reports, assigned=["a", "b"])
+    assert (target_ids(chosen), chosen.held_up_by_target) == ([], {})
 
 
-def test_at_most_as_many_as_allowed_are_out(wave):
+def test_at_most_max_out_targets_change_at_once(wave):
     reports = [report("a", NEW), report("b"), report("c"), report("d")]
-    found = wave(reports, assigned=["a"], max_out=2)
-    assert names(found) == ["b", "c"]
+    chosen = wave(reports, assigned=["a"], max_out=2)
+    assert target_ids(chosen) == ["b", "c"]
 
 
-def test_until_one_serves_a_single_target_is_tried(wave):
+def test_a_single_target_is_tried_until_one_serves(wave):
     reports = [report("a"), report("b"), report("c")]
-    assert names(wave(reports, max_out=3)) == ["a"]
+    assert target_ids(wave(reports, max_out=3)) == ["a"]
--- a/damaskcroft/control/tests/test_service_recorder.py
+++ b/damaskcroft/control/tests/test_service_recorder.py
@@ -1,4 +1,4 @@
-"""When the leader records which version is in service, and what it sees."""
+"""Conditions under which the leader records the version in service."""
 
 import asyncio
 
@@ -13,9 +13,9 @@
 )
 from damaskcroft.fleet import FleetView
 
-SETTLED_S = 1.0
-# More than what settling and a look take together.
-RECORDED_S = SETTLED_S + 2.0
+STABLE_S = 1.0
+# More than the time of stability and one check take together.
+RECORD_WITHIN_S = STABLE_S + 2.0
 LAYERS = 4
 
 
@@ -25,32 +25,32 @@
 
 
 class FakeControl:
-    """Commits at once, or takes long, or fails."""
+    """Commits commands after `commit_s`, or fails."""
 
     def __init__(self, state):
         self.state = state
-        self.fails = False
-        self.takes_s = 0.0
+        self.is_failing = False
+        self.commit_s = 0.0
         self.proposed = []
 
     async def commit(self, command):
         served = command.record_served
         self.proposed.append(served.version)
-        await asyncio.sleep(self.takes_s)
-        if self.fails:
+        await asyncio.sleep(self.commit_s)
+        if self.is_failing:
             return Unavailable("not committed in time")
         return Accepted(
             self.state.apply(1, command.SerializeToString()).version
         )
 
 
-class Made:
+class RecorderRig:
     def __init__(self, loop):
         self.loop = loop
         self.replica, self.state = FakeReplica(), FleetState()
         self.view, self.control = FleetView(), FakeControl(self.state)
         self.recorder = ServiceRecorder(
-            self.replica, self.state, self.view, self.control, SETTLED_S
+            self.replica, self.state, self.view, self.control, STABLE_S
         )
         engine = fleet_pb2.EngineProfile(
             models=[fleet_pb2.EngineModel(name="m")], layers=LAYERS
@@ -66,7 +66,7 @@
         )
         self.state.apply(1, command.SerializeToString())
 
-    def name(self, version):
+    def set_desired_version(self, version):
         goal = fleet_pb2.WeightGoal(model="m", version=version)
         command = fleet_pb2.FleetCommand(name_weights=goal)
 
@@ -75,8 +75,8 @@
 
         self.loop.run(apply())
 
-    def hear(self, *versions, first=0):
-        """Announcements of targets that hold these; 0 for an empty one."""
+    def announce_targets(self, *versions, first=0):
+        """Announces targets that hold these versions; 0 for an empty target."""
         self.view.take(
             [
                 target(f"t{number}", version)
@@ -102,120 +102,120 @@
 
 
 @pytest.fixture
-def made(loop):
-    made = Made(loop)
-    yield made
-    made.task.cancel()
-    loop.run(asyncio.wait([made.task]))
+def rig(loop):
+    rig = RecorderRig(loop)
+    yield rig
+    rig.task.cancel()
+    loop.run(asyncio.wait([rig.task]))
 
 
-def test_what_targets_serve_is_recorded_once(made):
-    made.hear(1, 1, 0, 0, 0)
-    made.pass_time(RECORDED_S)
-    assert made.recorded == 1
-    made.pass_time(60)
-    assert made.control.proposed == [1]
+def test_what_targets_serve_is_recorded_once(rig):
+    rig.announce_targets(1, 1, 0, 0, 0)
+    rig.pass_time(RECORD_WITHIN_S)
+    assert rig.recorded == 1
+    rig.pass_time(60)
+    assert rig.control.proposed == [1]
 
 
-def test_the_record_outlives_what_targets_hold(made):
-    made.hear(1, 1)
-    made.pass_time(RECORDED_S)
-    made.hear(0, 0, first=2)
+def test_the_record_remains_when_targets_lose_their_version(rig):
+    rig.announce_targets(1, 1)
+    rig.pass_time(RECORD_WITHIN_S)
+    rig.announce_targets(0, 0, first=2)
     for number in range(2):
-        made.view.take([fleet_pb2.TargetState(
+        rig.view.take([fleet_pb2.TargetState(
             id=f"t{number}", phase=fleet_pb2.TARGET_GONE)])  # fmt: skip
-    made.pass_time(60)
-    assert made.recorded == 1
-
-
-def test_empty_targets_show_nothing(made):
-    made.hear(0, 0, 0)
-    made.pass_time(60)
-    assert made.control.proposed == []
-
-
-@pytest.mark.parametrize("strange", [5, 1])
-def test_one_strange_target_does_not_decide(made, strange):
-    made.hear(strange, 2, 2)
-    made.pass_time(RECORDED_S)
-    assert made.recorded == 2
-
-
-def test_targets_that_differ_evenly_decide_nothing(made):
-    made.hear(1, 5)
-    made.pass_time(60)
-    assert made.control.proposed == []
-    made.hear(5, first=2)
-    made.pass_time(RECORDED_S)
-    assert made.recorded == 5
-
-
-def test_a_new_leader_that_hears_a_strange_target_first_waits(made):
-    made.hear(5)
-    made.pass_time(SETTLED_S)
-    made.hear(1, 1, first=1)
-    made.pass_time(RECORDED_S)
-    assert made.control.proposed == [1]
-
-
-def test_a_follower_records_nothing(made):
-    made.replica.is_confirmed_leader = False
-    made.hear(1, 1)
-    made.pass_time(60)
-    assert made.control.proposed == []
-
-
-def test_a_leader_that_was_none_for_a_while_begins_anew(made):
-    made.hear(1, 1)
-    made.pass_time(SETTLED_S)
-    made.replica.is_confirmed_leader = False
-    made.pass_time(60)
-    made.replica.is_confirmed_leader = True
-    made.pass_time(SETTLED_S)
-    assert made.control.proposed == []
-    made.pass_time(RECORDED_S)
-    assert made.recorded == 1
-
-
-def test_nothing_is_recorded_beside_a_goal(made):
-    made.name(2)
-    made.hear(1, 1)
-    made.pass_time(60)
-    assert made.control.proposed == []
-
-
-def test_models_of_no_service_are_left_alone(made):
-    made.configure(fleet_pb2.Service(name="s"))
-    made.hear(1, 1)
-    made.pass_time(60)
-    assert made.control.proposed == []
-
-
-def test_a_log_that_fails_gets_few_proposals_and_the_record_in_the_end(made):
-    made.control.fails = True
-    made.hear(1, 1)
-    made.pass_time(60)
-    assert 4 <= len(made.control.proposed) <= 8
-    made.control.fails = False
-    made.pass_time(20)
-    assert made.recorded == 1
-
-
-def test_one_proposal_at_a_time_while_the_log_is_slow(made):
-    made.control.takes_s = 30.0
-    made.hear(1, 1)
-    made.pass_time(25)
-    assert made.control.proposed == [1]
-
-
-def test_a_version_named_while_the_record_is_under_way_stands(made):
-    made.control.takes_s = 5.0
-    made.hear(3, 3)
-    made.pass_time(RECORDED_S)
-    assert made.control.proposed == [3]
-    made.name(2)
-    made.pass_time(10)
-    assert made.recorded is None
-    assert made.state.weights_version("m") == 2
-    made.pass_time(60)
-    assert made.control.proposed == [3]
+    rig.pass_time(60)
+    assert rig.recorded == 1
+
+
+def test_empty_targets_cause_no_record(rig):
+    rig.announce_targets(0, 0, 0)
+    rig.pass_time(60)
+    assert rig.control.proposed == []
+
+
+@pytest.mark.parametrize("outlier", [5, 1])
+def test_one_deviating_target_does_not_decide(rig, outlier):
+    rig.announce_targets(outlier, 2, 2)
+    rig.pass_time(RECORD_WITHIN_S)
+    assert rig.recorded == 2
+
+
+def test_nothing_is_recorded_without_a_majority(rig):
+    rig.announce_targets(1, 5)
+    rig.pass_time(60)
+    assert rig.control.proposed == []
+    rig.announce_targets(5, first=2)
+    rig.pass_time(RECORD_WITHIN_S)
+    assert rig.recorded == 5
+
+
+def test_a_new_leader_waits_when_a_deviating_target_announces_first(rig):
+    rig.announce_targets(5)
+    rig.pass_time(STABLE_S)
+    rig.announce_targets(1, 1, first=1)
+    rig.pass_time(RECORD_WITHIN_S)
+    assert rig.control.proposed == [1]
+
+
+def test_a_follower_records_nothing(rig):
+    rig.replica.is_confirmed_leader = False
+    rig.announce_targets(1, 1)
+    rig.pass_time(60)
+    assert rig.control.proposed == []
+
+
+def test_a_leader_elected_again_waits_for_stability_again(rig):
+    rig.announce_targets(1, 1)
+    rig.pass_time(STABLE_S)
+    rig.replica.is_confirmed_leader = False
+    rig.pass_time(60)
+    rig.replica.is_confirmed_leader = True
+    rig.pass_time(STABLE_S)
+    assert rig.control.proposed == []
+    rig.pass_time(RECORD_WITHIN_S)
+    assert rig.recorded == 1
+
+
+def test_nothing_is_recorded_for_a_model_with_a_desired_version(rig):
+    rig.set_desired_version(2)
+    rig.announce_targets(1, 1)
+    rig.pass_time(60)
+    assert rig.control.proposed == []
+
+
+def test_models_of_no_service_are_not_recorded(rig):
+    rig.configure(fleet_pb2.Service(name="s"))
+    rig.announce_targets(1, 1)
+    rig.pass_time(60)
+    assert rig.control.proposed == []
+
+
+def test_a_failing_log_gets_few_proposals_and_the_record_once_it_works(rig):
+    rig.control.is_failing = True
+    rig.announce_targets(1, 1)
+    rig.pass_time(60)
+    assert 4 <= len(rig.control.proposed) <= 8
+    rig.control.is_failing = False
+    rig.pass_time(20)
+    assert rig.recorded == 1
+
+
+def test_one_proposal_at_a_time_while_the_log_is_slow(rig):
+    rig.control.commit_s = 30.0
+    rig.announce_targets(1, 1)
+    rig.pass_time(25)
+    assert rig.control.proposed == [1]
+
+
+def test_a_desired_version_set_during_a_record_takes_precedence(rig):
+    rig.control.commit_s = 5.0
+    rig.announce_targets(3, 3)
+    rig.pass_time(RECORD_WITHIN_S)
+    assert rig.control.proposed == [3]
+    rig.set_desired_version(2)
+    rig.pass_time(10)
+    assert rig.recorded is None
+    assert rig.state.desired_version("m") == 2
+    rig.pass_time(60)
+    assert rig.control.proposed == [3]
