--- a/damaskcroft/claims/__init__.py
+++ b/damaskcroft/claims/__init__.py
@@ -1,4 +1,4 @@
-"""At-most-once claims and the answers kept for them."""
+"""Claims for running a request at most once, and their stored answers."""
 
 from damaskcroft.claims._table import ClaimTable
 
--- a/damaskcroft/claims/_table.py
+++ b/damaskcroft/claims/_table.py
@@ -1,8 +1,8 @@
-"""The claim table: one part of the replicated state.
+"""The claim table, a part of the replicated state.
 
 A claim is the right to run one non-idempotent request once. It is committed
-before the request is sent anywhere, and bound to one agent process, which
-keeps the outcome even when the entry that asked is gone.
+before the request is sent anywhere, and bound to one agent process, which keeps
+the outcome even if the requesting entry ends.
 """
 
 from collections.abc import Iterable
@@ -16,98 +16,99 @@
     """Claims by customer and idempotency key.
 
     Args:
-        kept_ms: how long a settled claim is kept. Within this time a key
-            never runs again; a caller must not resend a key after it.
-        per_customer: most claims of one customer; above it new ones are
-            refused, so that memory stays bounded.
+        retention_ms: how long a settled claim is kept. Within this time a
+            request with its key is not run again; after it a caller must not
+            resend the key.
+        max_per_customer: maximum number of claims of one customer. Further
+            ones are refused, so that memory stays bounded.
     """
 
     __slots__ = (
         "_claims_by_key",
         "_counts_by_customer",
-        "_kept_ms",
-        "_per_customer",
+        "_retention_ms",
+        "_max_per_customer",
     )
 
-    def __init__(self, kept_ms: int, per_customer: int):
+    def __init__(self, retention_ms: int, max_per_customer: int):
         """Creates an empty table."""
-        self._kept_ms = kept_ms
-        self._per_customer = per_customer
-        # In order of the last change, so that the oldest stand first.
+        self._retention_ms = retention_ms
+        self._max_per_customer = max_per_customer
+        # Ordered by the last change, oldest first.
         self._claims_by_key: dict[ClaimKey, control_pb2.ClaimState] = {}
         self._counts_by_customer: dict[str, int] = {}
 
     def __len__(self) -> int:
-        """How many claims are held."""
+        """Number of stored claims."""
         return len(self._claims_by_key)
 
     def find(self, customer: str, key: str) -> control_pb2.ClaimState | None:
-        """The claim of a key, if any."""
+        """Returns the claim of a key, if any."""
         return self._claims_by_key.get((customer, key))
 
     def claim(
         self, index: int, time_ms: int, request: control_pb2.ClaimRequest
     ) -> control_pb2.ClaimReply:
-        """Grants a claim or tells what became of the earlier one.
+        """Grants a claim or returns the state of the earlier one for its key.
 
         Args:
-            index: log index; the run number if the claim is granted.
+            index: log index; becomes the run number of a granted claim.
             time_ms: log time.
-            request: who wants to run what.
+            request: the claim requested by an entry.
         """
         self._expire(time_ms)
-        held = self.find(request.customer, request.key)
-        if held is None:
+        stored = self.find(request.customer, request.key)
+        if stored is None:
             count = self._counts_by_customer.get(request.customer, 0)
-            if count >= self._per_customer:
+            if count >= self._max_per_customer:
                 return control_pb2.ClaimReply(outcome=control_pb2.CLAIM_FULL)
             return self._grant(index, time_ms, request)
-        if held.body_digest != request.body_digest:
+        if stored.body_digest != request.body_digest:
             return control_pb2.ClaimReply(outcome=control_pb2.CLAIM_OTHER_BODY)
-        if self._may_run_again(held, request):
+        if self._may_run_again(stored, request):
             return self._grant(index, time_ms, request)
-        return self.answer(held)
+        return self.answer(stored)
 
     def settle(self, time_ms: int, request: control_pb2.SettleRequest) -> bool:
         """Records the outcome of a run.
 
         Returns:
-            Whether the claim now holds an outcome. A settled outcome never
+            Whether the claim now has an outcome. A known outcome never
             changes, but an unknown one may become known.
         """
-        held = self.find(request.customer, request.key)
-        if held is None or held.run_number != request.run_number:
+        stored = self.find(request.customer, request.key)
+        if stored is None or stored.run_number != request.run_number:
             return False
-        if held.settled and held.result != control_pb2.RESULT_UNKNOWN:
+        if stored.settled and stored.result != control_pb2.RESULT_UNKNOWN:
             return True
-        held.settled = True
-        held.result = request.result
-        held.answer.CopyFrom(request.answer)
-        self._touch(held, time_ms)
+        stored.settled = True
+        stored.result = request.result
+        stored.answer.CopyFrom(request.answer)
+        self._store_as_newest(stored, time_ms)
         return True
 
-    def answer(self, held: control_pb2.ClaimState) -> control_pb2.ClaimReply:
-        """What a second arrival of a claimed key is told."""
+    def answer(self, stored: control_pb2.ClaimState) -> control_pb2.ClaimReply:
+        """Returns the reply to a repeated claim of a key."""
         reply = control_pb2.ClaimReply(
-            run_number=held.run_number,
-            agent=held.agent,
-            agent_incarnation=held.agent_incarnation,
+            run_number=stored.run_number,
+            agent=stored.agent,
+            agent_incarnation=stored.agent_incarnation,
         )
-        if not held.settled:
+        if not stored.settled:
             reply.outcome = control_pb2.CLAIM_IN_PROGRESS
-        elif held.result == control_pb2.RESULT_DONE:
+        elif stored.result == control_pb2.RESULT_DONE:
             reply.outcome = control_pb2.CLAIM_KEPT
-            reply.answer.CopyFrom(held.answer)
+            reply.answer.CopyFrom(stored.answer)
         else:
             reply.outcome = control_pb2.CLAIM_UNKNOWN
         return reply
 
     def image(self) -> list[control_pb2.ClaimState]:
-        """All claims, for a snapshot."""
+        """Returns all claims, for a snapshot."""
         return list(self._claims_by_key.values())
 
     def restore(self, claims: Iterable[control_pb2.ClaimState]) -> None:
-        """Replaces the content by a snapshot's."""
+        """Replaces all claims by those of a snapshot."""
         self._claims_by_key = {(c.customer, c.key): c for c in claims}
         self._counts_by_customer = {}
         for customer, _ in self._claims_by_key:
@@ -116,16 +117,16 @@
 
     def _may_run_again(
         self,
-        held: control_pb2.ClaimState,
+        stored: control_pb2.ClaimState,
         request: control_pb2.ClaimRequest,
     ) -> bool:
-        if held.settled:
-            return held.result == control_pb2.RESULT_NOT_RUN
-        # The entry that holds the claim has a certificate that its run was
-        # refused, and moves the claim to another agent.
+        if stored.settled:
+            return stored.result == control_pb2.RESULT_NOT_RUN
+        # The entry that holds the claim has proof that its run was refused, and
+        # moves the claim to another agent.
         return (
             request.replaces_run != 0
-            and request.replaces_run == held.run_number
+            and request.replaces_run == stored.run_number
         )
 
     def _grant(
@@ -143,7 +144,7 @@
         if key not in self._claims_by_key:
             count = self._counts_by_customer.get(request.customer, 0)
             self._counts_by_customer[request.customer] = count + 1
-        self._touch(state, time_ms)
+        self._store_as_newest(state, time_ms)
         return control_pb2.ClaimReply(
             outcome=control_pb2.CLAIM_GRANTED,
             run_number=index,
@@ -151,21 +152,23 @@
             agent_incarnation=request.agent_incarnation,
         )
 
-    def _touch(self, state: control_pb2.ClaimState, time_ms: int) -> None:
+    def _store_as_newest(
+        self, state: control_pb2.ClaimState, time_ms: int
+    ) -> None:
         key = (state.customer, state.key)
         state.changed_ms = time_ms
         self._claims_by_key.pop(key, None)
         self._claims_by_key[key] = state
 
     def _expire(self, time_ms: int) -> None:
-        oldest_ms = time_ms - self._kept_ms
+        expiry_ms = time_ms - self._retention_ms
         while self._claims_by_key:
             key, claim = next(iter(self._claims_by_key.items()))
-            if claim.changed_ms > oldest_ms:
+            if claim.changed_ms > expiry_ms:
                 return
             if not claim.settled:
-                # Never forgotten while it may still be running.
-                self._touch(claim, time_ms)
+                # The run may still be in progress, so its claim is kept.
+                self._store_as_newest(claim, time_ms)
                 continue
             del self._claims_by_key[key]
             self._counts_by_customer[key[0]] -= 1
--- a/damaskcroft/claims/tests/test_table.py
+++ b/damaskcroft/claims/tests/test_table.py
@@ -3,12 +3,12 @@
 from damaskcroft._generated import control_pb2
 from damaskcroft.claims import ClaimTable
 
-KEPT_MS = 1000
+RETENTION_MS = 1000
 
 
 @pytest.fixture
 def table():
-    return ClaimTable(kept_ms=KEPT_MS, per_customer=2)
+    return ClaimTable(retention_ms=RETENTION_MS, max_per_customer=2)
 
 
 def claim(table, index, key="k", time_ms=0, **fields):
@@ -27,7 +27,7 @@
     )
 
 
-def test_late_settlement_of_an_older_run_changes_nothing(table):
+def test_a_late_settlement_of_an_older_run_changes_nothing(table):
     claim(table, 1)
     settle(table, 1, control_pb2.RESULT_NOT_RUN)
     assert claim(table, 2) == control_pb2.CLAIM_GRANTED
@@ -35,7 +35,7 @@
     assert claim(table, 3) == control_pb2.CLAIM_IN_PROGRESS
 
 
-def test_known_outcome_never_changes_but_unknown_may_become_known(table):
+def test_a_known_outcome_never_changes_but_an_unknown_one_may(table):
     claim(table, 1)
     settle(table, 1, control_pb2.RESULT_UNKNOWN)
     assert claim(table, 2) == control_pb2.CLAIM_UNKNOWN
@@ -44,7 +44,7 @@
     assert claim(table, 3) == control_pb2.CLAIM_KEPT
 
 
-def test_only_the_holder_of_a_run_may_move_it(table):
+def test_a_replaced_run_cannot_be_replaced_again(table):
     claim(table, 1)
     moved = claim(table, 2, replaces_run=1)
     assert moved == control_pb2.CLAIM_GRANTED
@@ -52,7 +52,7 @@
     assert again == control_pb2.CLAIM_IN_PROGRESS
 
 
-def test_a_customer_can_fill_only_its_own_share(table):
+def test_a_customer_can_exhaust_only_its_own_claims(table):
     claim(table, 1, "a")
     claim(table, 2, "b")
     assert claim(table, 3, "c") == control_pb2.CLAIM_FULL
@@ -64,17 +64,17 @@
     claim(table, 1, "done")
     claim(table, 2, "running")
     settle(table, 1, control_pb2.RESULT_DONE, key="done")
-    late_ms = KEPT_MS + 1
+    late_ms = RETENTION_MS + 1
     assert claim(table, 3, "new", late_ms) == control_pb2.CLAIM_GRANTED
     assert table.find("c", "done") is None
     still = claim(table, 4, "running", late_ms)
     assert still == control_pb2.CLAIM_IN_PROGRESS
 
 
-def test_snapshot_brings_everything_back(table):
+def test_a_snapshot_restores_claims_and_counts(table):
     claim(table, 1, "a")
     settle(table, 1, control_pb2.RESULT_DONE, key="a")
-    copy = ClaimTable(kept_ms=KEPT_MS, per_customer=2)
+    copy = ClaimTable(retention_ms=RETENTION_MS, max_per_customer=2)
     copy.restore(table.image())
     assert claim(copy, 2, "a") == control_pb2.CLAIM_KEPT
     claim(copy, 3, "b")
