--- a/damaskcroft/control/_state.py
+++ b/damaskcroft/control/_state.py
@@ -6,7 +6,7 @@
 from damaskcroft.claims import ClaimTable
 from damaskcroft.consensus import StateMachine
 from damaskcroft.membership import HolderTable
-from damaskcroft.records import RecordBook
+from damaskcroft.records import RecordRegistry
 
 
 class ControlState(StateMachine):
@@ -19,7 +19,7 @@
 
     def __init__(self, claim_kept_ms: int, claims_per_customer: int):
         """Creates the empty state; the arguments bound its claim table."""
-        self.records = RecordBook()
+        self.records = RecordRegistry()
         self.holders = HolderTable()
         self.claims = ClaimTable(claim_kept_ms, claims_per_customer)
         self.assignments_by_target: dict[str, control_pb2.Assignment] = {}
--- a/damaskcroft/records/__init__.py
+++ b/damaskcroft/records/__init__.py
@@ -1,6 +1,6 @@
-"""Record shapes by schema version, and the book of all records."""
+"""Records: their schema versions, selection of targets and registry."""
 
-from damaskcroft.records._book import RecordBook
+from damaskcroft.records._registry import RecordRegistry
 from damaskcroft.records._selection import (
     deployment_for,
     matches,
@@ -17,7 +17,7 @@
 __all__ = [
     "CURRENT_SCHEMA_VERSION",
     "InvalidRecord",
-    "RecordBook",
+    "RecordRegistry",
     "UnsupportedSchema",
     "deployment_for",
     "matches",
--- a/damaskcroft/records/_book.py
+++ b/damaskcroft/records/_registry.py
@@ -1,25 +1,25 @@
-"""The book of records: one part of the replicated state."""
+"""The registry of records, a part of the replicated state."""
 
 from collections.abc import Iterable
 
 from damaskcroft._generated import control_pb2, records_pb2
 from damaskcroft.records._shapes import InvalidRecord, validate
 
-# An operator who lost an answer resends within this time.
-_KEPT_WRITE_MS = 24 * 3600 * 1000
+# An operator who lost the answer to a write resends it within this time.
+_WRITE_RETENTION_MS = 24 * 3600 * 1000
 
 
-class RecordBook:
-    """Records by kind and name, and the first answer to every write.
+class RecordRegistry:
+    """Records by kind and name, and the first reply to every recent write.
 
-    Withdrawn records stay as tombstones, so that a process that was away can
-    be told of the withdrawal by revision.
+    Withdrawn records remain as tombstones, so that a process that was
+    disconnected receives the withdrawal among the changes since its revision.
     """
 
     __slots__ = ("_kept_by_request_id", "records_by_key", "revision")
 
     def __init__(self) -> None:
-        """Creates an empty book."""
+        """Creates an empty registry."""
         self.records_by_key: dict[tuple[str, str], records_pb2.Record] = {}
         self._kept_by_request_id: dict[str, control_pb2.KeptWrite] = {}
         self.revision = 0
@@ -27,15 +27,15 @@
     def apply(
         self, index: int, time_ms: int, request: control_pb2.WriteRequest
     ) -> control_pb2.WriteReply:
-        """Carries out one committed write.
+        """Applies one committed write.
 
         Args:
-            index: its log index, the revision of what it changes.
+            index: the log index, which becomes the revision of the record.
             time_ms: log time.
             request: the operator's write.
 
         Returns:
-            The first answer given to this request id.
+            The first reply given to this request id.
         """
         kept = self._kept_by_request_id.get(request.request_id)
         if kept is not None:
@@ -44,11 +44,11 @@
         self._kept_by_request_id[request.request_id] = control_pb2.KeptWrite(
             request_id=request.request_id, reply=reply, changed_ms=time_ms
         )
-        self._forget_before(time_ms - _KEPT_WRITE_MS)
+        self._expire_writes(time_ms - _WRITE_RETENTION_MS)
         return reply
 
     def changed_since(self, revision: int) -> list[records_pb2.Record]:
-        """Records changed after a revision, tombstones included."""
+        """Records changed after a revision, including tombstones."""
         return [
             record
             for record in self.records_by_key.values()
@@ -56,7 +56,7 @@
         ]
 
     def kept_writes(self) -> list[control_pb2.KeptWrite]:
-        """All kept answers, for a snapshot."""
+        """Returns all stored replies to writes, for a snapshot."""
         return list(self._kept_by_request_id.values())
 
     def restore(
@@ -64,7 +64,7 @@
         records: Iterable[records_pb2.Record],
         kept_writes: Iterable[control_pb2.KeptWrite],
     ) -> None:
-        """Replaces the content by a snapshot's."""
+        """Replaces all records and replies by those of a snapshot."""
         self.records_by_key = {(r.kind, r.name): r for r in records}
         self._kept_by_request_id = {k.request_id: k for k in kept_writes}
         revisions = [r.revision for r in self.records_by_key.values()]
@@ -112,8 +112,8 @@
             outcome=control_pb2.WRITE_ACCEPTED, record=record
         )
 
-    def _forget_before(self, time_ms: int) -> None:
-        # Kept in order of time, so the oldest stand first.
+    def _expire_writes(self, time_ms: int) -> None:
+        # Ordered by time, oldest first.
         while self._kept_by_request_id:
             request_id, kept = next(iter(self._kept_by_request_id.items()))
             if kept.changed_ms >= time_ms:
--- a/damaskcroft/records/_selection.py
+++ b/damaskcroft/records/_selection.py
@@ -1,4 +1,4 @@
-"""Which targets a record speaks of; the same answer in every process."""
+"""Selection of the deployment of a target, equal in every process."""
 
 from collections.abc import Iterable
 
@@ -13,7 +13,7 @@
 def matches(
     selector: records_pb2.TargetSelector, target: control_pb2.Announcement
 ) -> bool:
-    """Whether a selector admits a target; empty lists admit all."""
+    """Whether a selector matches a target; empty lists match all."""
     if target.service:
         # Plain services hold no weights.
         return False
@@ -28,12 +28,12 @@
 def deployment_for(
     target: control_pb2.Announcement, records: Iterable[records_pb2.Record]
 ) -> records_pb2.Deployment | UnsupportedSchema | None:
-    """The deployment that a target should serve: the newest that matches.
+    """Returns the deployment that a target should serve: the newest match.
 
     Returns:
-        The deployment; None when no record matches; UnsupportedSchema when a
-        record newer than this process could speak of the target, so that the
-        process must leave the target as it is.
+        The deployment; None when no record matches; UnsupportedSchema when the
+        schema of some record is newer than this process, so that it might
+        match the target and the process must leave the target unchanged.
     """
     newest: records_pb2.Deployment | None = None
     newest_revision = 0
@@ -53,7 +53,7 @@
 
 
 def models_on_record(records: Iterable[records_pb2.Record]) -> set[str]:
-    """Models that some deployment in force names."""
+    """Returns the models of all readable deployments that are in force."""
     models = set()
     for record in records:
         if record.kind != "deployment" or record.withdrawn:
--- a/damaskcroft/records/_shapes.py
+++ b/damaskcroft/records/_shapes.py
@@ -1,7 +1,7 @@
-"""Reading records of every schema version into the current shape.
+"""Validation of records and conversion from every schema version.
 
-A record is stored as the operator wrote it; conversion happens on reading.
-So nothing is lost between versions, fields unknown to this process included.
+A record is stored as the operator wrote it and converted when it is read, so
+that no field is lost between versions, not even one unknown to this process.
 """
 
 import dataclasses
@@ -17,7 +17,7 @@
 
 _DIGEST = re.compile(r"[0-9a-f]{64}")
 _NAME = re.compile(r"[a-z0-9][a-z0-9._-]{0,62}")
-_POLICIES_BY_WORD = {
+_POLICY_BY_NAME = {
     "fewest_origin_bytes": "FEWEST_ORIGIN_BYTES",
     "least_time": "LEAST_TIME",
 }
@@ -29,11 +29,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InvalidRecord:
-    """A record that no process could carry out.
+    """The first fault of an invalid record.
 
     Attributes:
-        field: path of the field at fault, dotted.
-        reason: what is wrong, for a person.
+        field: dotted path of the field at fault.
+        reason: description of the fault for operators.
     """
 
     field: str
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnsupportedSchema:
-    """A record newer than this process; it keeps what it already does."""
+    """A record of a newer schema; the process keeps its current state."""
 
     schema_version: int
 
@@ -90,12 +90,12 @@
         return UnsupportedSchema(record.schema_version)
     document = json.loads(record.body)
     if record.schema_version == 1:
-        document = _from_version_1(document)
-    return _from_version_2(document)
+        document = _convert_version_1(document)
+    return _parse_version_2(document)
 
 
-def _from_version_1(document: dict[str, Any]) -> dict[str, Any]:
-    """Version 1 named one role, and had no burst policy."""
+def _convert_version_1(document: dict[str, Any]) -> dict[str, Any]:
+    """Converts a version 1 document, which has one role and no burst policy."""
     roles = [document["role"]] if "role" in document else []
     rollout = {"max_out": document.get("max_out", _DEFAULT_MAX_OUT)}
     shared = {
@@ -106,10 +106,10 @@
     return {**shared, "targets": {"roles": roles}, "rollout": rollout}
 
 
-def _from_version_2(
+def _parse_version_2(
     document: dict[str, Any],
 ) -> records_pb2.Deployment | InvalidRecord:
-    flat = {
+    fields = {
         key: value
         for key, value in document.items()
         if key not in ("rollout", "burst", *_ENVELOPE_FIELDS)
@@ -118,24 +118,24 @@
         inner = document.get(section, {})
         if not isinstance(inner, dict):
             return InvalidRecord(section, "must be an object")
-        flat.update(inner)
-    policy = flat.pop("policy", "fewest_origin_bytes")
-    if policy not in _POLICIES_BY_WORD:
-        words = ", ".join(_POLICIES_BY_WORD)
-        return InvalidRecord("burst.policy", f"must be one of {words}")
-    flat["policy"] = _POLICIES_BY_WORD[policy]
-    flat["name"] = document.get("name", "")
-    flat.setdefault("max_out", _DEFAULT_MAX_OUT)
-    flat.setdefault("origin_copies_cap", _DEFAULT_ORIGIN_COPIES_CAP)
+        fields.update(inner)
+    policy = fields.pop("policy", "fewest_origin_bytes")
+    if policy not in _POLICY_BY_NAME:
+        names = ", ".join(_POLICY_BY_NAME)
+        return InvalidRecord("burst.policy", f"must be one of {names}")
+    fields["policy"] = _POLICY_BY_NAME[policy]
+    fields["name"] = document.get("name", "")
+    fields.setdefault("max_out", _DEFAULT_MAX_OUT)
+    fields.setdefault("origin_copies_cap", _DEFAULT_ORIGIN_COPIES_CAP)
     deployment = records_pb2.Deployment()
     try:
-        json_format.ParseDict(flat, deployment, ignore_unknown_fields=True)
+        json_format.ParseDict(fields, deployment, ignore_unknown_fields=True)
     except json_format.ParseError as error:
         return InvalidRecord("", str(error))
-    return _checked(deployment)
+    return _validated(deployment)
 
 
-def _checked(
+def _validated(
     deployment: records_pb2.Deployment,
 ) -> records_pb2.Deployment | InvalidRecord:
     if not deployment.model:
--- a/damaskcroft/records/tests/fakes.py
+++ b/damaskcroft/records/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Records as operators write them, for tests."""
+"""Records in the form written by operators, for tests."""
 
 import json
 
@@ -6,7 +6,7 @@
 
 
 def deployment_record(version="1", revision=1, *, withdrawn=False):
-    """A deployment of the model "draft" to every model target."""
+    """Returns a deployment of the model "draft" to every model target."""
     body = {
         "schema_version": 2,
         "kind": "deployment",
--- a/damaskcroft/records/tests/test_fuzz_records.py
+++ b/damaskcroft/records/tests/test_fuzz_records.py
@@ -1,6 +1,6 @@
-"""Stateful fuzzing of operators that race and resend, over both schemas.
+"""Stateful fuzzing of concurrent and repeated writes in both schemas.
 
-Oracle: a plain map from name to revision and text.
+The oracle is a map from name to revision and body.
 """
 
 import json
@@ -82,7 +82,7 @@
 
     @rule(back=st.integers(0, 5))
     def resend(self, back):
-        """The same request id gets the first answer, and changes nothing."""
+        """A repeated request id gets the first reply and changes nothing."""
         if back < len(self.sent):
             request, first = self.sent[-1 - back]
             assert self.apply(request).SerializeToString() == first
@@ -96,7 +96,7 @@
         self.state = copy
 
     @invariant()
-    def book_equals_oracle(self):
+    def registry_equals_oracle(self):
         live = {
             record.name: (record.revision, record.body)
             for record in self.state.records.records_by_key.values()
--- a/damaskcroft/records/tests/test_shapes.py
+++ b/damaskcroft/records/tests/test_shapes.py
@@ -10,7 +10,7 @@
     validate,
 )
 
-GOOD = {
+VALID_DOCUMENT = {
     "schema_version": 2,
     "kind": "deployment",
     "name": "drafting",
@@ -20,13 +20,13 @@
 }
 
 
-def checked(**changes):
-    body = json.dumps({**GOOD, **changes}).encode()
+def validate_with(**changes):
+    body = json.dumps({**VALID_DOCUMENT, **changes}).encode()
     return validate("deployment", "drafting", body)
 
 
-def test_good_record_gives_its_schema_version():
-    assert checked() == 2
+def test_a_valid_record_returns_its_schema_version():
+    assert validate_with() == 2
 
 
 @pytest.mark.parametrize(
@@ -44,18 +44,18 @@
         ("rollout.max_out", {"rollout": {"max_out": 0}}),
     ],
 )
-def test_faults_name_their_field(field, changes):
-    found = checked(**changes)
-    assert isinstance(found, InvalidRecord)
-    assert found.field == field
+def test_an_invalid_record_reports_the_field_at_fault(field, changes):
+    result = validate_with(**changes)
+    assert isinstance(result, InvalidRecord)
+    assert result.field == field
 
 
-def test_broken_json_is_typed():
-    found = validate("deployment", "drafting", b"\xff{")
-    assert isinstance(found, InvalidRecord)
+def test_invalid_json_is_an_invalid_record():
+    result = validate("deployment", "drafting", b"\xff{")
+    assert isinstance(result, InvalidRecord)
 
 
-def test_record_from_the_future_leaves_targets_alone():
+def test_a_record_of_a_newer_schema_leaves_targets_unchanged():
     target = control_pb2.Announcement(id="a", role="drafting")
     record = records_pb2.Record(
         kind="deployment", name="x", schema_version=9, body=b"{}", revision=5
@@ -63,7 +63,7 @@
     assert deployment_for(target, [record]) == UnsupportedSchema(9)
 
 
-def test_newest_matching_record_wins():
+def test_the_newest_matching_record_applies():
     target = control_pb2.Announcement(id="a", role="drafting")
     records = [
         records_pb2.Record(
@@ -72,7 +72,11 @@
             schema_version=2,
             revision=revision,
             body=json.dumps(
-                {**GOOD, "name": f"d{revision}", "targets": {"roles": [role]}}
+                {
+                    **VALID_DOCUMENT,
+                    "name": f"d{revision}",
+                    "targets": {"roles": [role]},
+                }
             ).encode(),
         )
         for revision, role in ((3, "drafting"), (7, "drafting"), (9, "other"))
