--- a/damaskcroft/quarantine/__init__.py
+++ b/damaskcroft/quarantine/__init__.py
@@ -1,8 +1,8 @@
-"""Requests that crash the targets that run them, known by the whole fleet."""
+"""Detection and fleet-wide refusal of requests that crash their targets."""
 
-from damaskcroft.quarantine._book import CrashBook, Quarantined
 from damaskcroft.quarantine._copies import Copies, HoldTurn
-from damaskcroft.quarantine._evidence import CrashWatch, Loss, is_gone
+from damaskcroft.quarantine._crash_detection import CrashWatch, Loss, is_gone
+from damaskcroft.quarantine._crash_registry import CrashBook, Quarantined
 from damaskcroft.quarantine._fingerprint import fingerprint
 from damaskcroft.quarantine._recent_answers import (
     MOST_NOTED_BYTES,
--- a/damaskcroft/quarantine/_copies.py
+++ b/damaskcroft/quarantine/_copies.py
@@ -1,11 +1,16 @@
-"""Copies of one suspect request run one after another.
+"""Sequential execution of the copies of a suspect request.
 
-Should it crash targets, it crashes one at a time; should it be innocent, the
-first copy that ends clears it, and the others go on at once.
+Copies of one suspect request run one after another. If the request crashes
+targets, it crashes them one at a time; if it is innocent, the first copy that
+ends clears it, and the others proceed at once.
 
-Suspects of several crashes in a row don't run beside each other either: where
-few targets are left, two that were lost with the same ones can't be told apart.
-They also leave the last targets to other requests for a while.
+Across entries the order is kept by turns. A turn is the permission to send one
+copy of a suspect request, granted to one entry at a time.
+
+Suspects of several crashes in sequence do not run beside each other either,
+because where few targets are left, two suspects that were lost with the same
+targets cannot be told apart. They also leave the last targets to other requests
+for a while.
 """
 
 import asyncio
@@ -14,48 +19,51 @@
 from collections.abc import AsyncIterator, Awaitable, Callable, Iterator
 
 from damaskcroft.clock import now_s
-from damaskcroft.quarantine._book import CrashBook
+from damaskcroft.quarantine._crash_registry import CrashBook
 from damaskcroft.tasks import Signal, end_all
 
 __all__ = ["Copies", "HoldTurn"]
 
-# So many crashes in a row make a request wait for others that have as many.
-_SEVERAL = 2
-# For so long at most, since sound requests may take their time.
-_SEVERAL_WAIT_S = 2.0
-# Share of its time for which a request waits for targets to come back.
-_BACK_SHARE = 1 / 3
-# How often they look whether targets are back.
-_LOOK_S = 0.05
-# Names the turn that they share.
-_SEVERAL_TURN = b"several crashes in a row"
-
-# Waits for this entry's turn among those of the fleet and holds it until
-# cancelled: the fingerprint, for how many seconds at most, and what to call
-# once it has come.
+# Number of crashes in sequence from which a request waits for other requests
+# that have as many.
+_MIN_SERIAL_CRASHES = 2
+# Maximum duration of that wait, because innocent requests may run for long.
+_MAX_SERIAL_WAIT_S = 2.0
+# Share of its remaining time that a request waits for targets to restart.
+_RESTART_WAIT_SHARE = 1 / 3
+# Interval at which a waiting request checks whether targets have restarted.
+_CHECK_INTERVAL_S = 0.05
+# Key of the turn that these requests share.
+_SHARED_TURN_KEY = b"several crashes in a row"
+
+# Waits for this entry's turn and holds it until cancelled. Arguments: the
+# fingerprint, the maximum time in seconds, and a callback for the moment at
+# which the turn is granted.
 HoldTurn = Callable[[bytes, float, Callable[[], None]], Awaitable[None]]
 
 
 class Copies:
-    """Which suspects have a copy under way.
+    """Runs the copies of each suspect request at one entry one by one.
 
     Args:
-        book: who is a suspect.
-        hold_turn: keeps other entries from sending copies; None where there
-            is no way to.
+        registry: registry of crashes, which says which requests are suspect.
+        hold_turn: acquires the turn of this entry in the fleet; None where no
+            node grants turns.
     """
 
-    __slots__ = ("_book", "_changed", "_hold_turn", "_under_way")
+    __slots__ = ("_changed", "_hold_turn", "_in_progress", "_registry")
 
-    def __init__(self, book: CrashBook, hold_turn: HoldTurn | None = None):
-        """See the class."""
-        self._book = book
+    def __init__(self, registry: CrashBook, hold_turn: HoldTurn | None = None):
+        """Starts without any copy in progress."""
+        self._registry = registry
         self._hold_turn = hold_turn
-        # Suspects with a copy of this entry under way, and the shared turn.
-        self._under_way: set[bytes] = set()
-        # Given when a copy has ended, a turn has come, or a verdict changed.
+        # Fingerprints with a copy in progress at this entry, and the key of the
+        # shared turn.
+        self._in_progress: set[bytes] = set()
+        # Signalled when a copy has ended, a turn is granted, or a verdict
+        # changes.
         self._changed = Signal()
-        book.listen(self._changed.give)
+        registry.listen(self._changed.give)
 
     @contextlib.asynccontextmanager
     async def one_at_a_time(
@@ -64,112 +72,131 @@
         until: float,
         few_left: Callable[[], bool] = lambda: False,
     ) -> AsyncIterator[None]:
-        """Waits while another copy of a suspect is under way.
+        """Waits while another copy of a suspect request is in progress.
 
         Args:
-            fingerprint: of the request.
-            until: loop time at which the request's own time is over.
+            fingerprint: fingerprint of the request.
+            until: loop time of the request's deadline.
             few_left: whether few targets are left that could run it.
         """
         await self._wait_while(
-            lambda: fingerprint in self._under_way, fingerprint, until
+            lambda: fingerprint in self._in_progress, fingerprint, until
         )
-        if not self._waits(fingerprint):
+        if not self._must_run_alone(fingerprint):
             yield
             return
-        with self._held_here(fingerprint):
-            async with self._turn(fingerprint, fingerprint, until, until):
-                async with self._apart(fingerprint, until, few_left):
+        with self._marked_in_progress(fingerprint):
+            async with self._held_turn(fingerprint, fingerprint, until, until):
+                async with self._wait_after_several_crashes(
+                    fingerprint, until, few_left
+                ):
                     yield
 
     @contextlib.asynccontextmanager
-    async def _apart(
+    async def _wait_after_several_crashes(
         self, fingerprint: bytes, until: float, few_left: Callable[[], bool]
     ) -> AsyncIterator[None]:
-        """Waits a while after several crashes in a row.
+        """Delays a request after several crashes in sequence.
 
-        For targets to come back, if few are left, and for other requests with
-        several crashes.
+        It waits for targets to restart, if few are left, and for other requests
+        with several crashes, each for a bounded time.
         """
-        if self._book.chain(fingerprint) < _SEVERAL:
+        if self._registry.chain(fingerprint) < _MIN_SERIAL_CRASHES:
             yield
             return
         now = now_s()
-        soon = min(until, now + _SEVERAL_WAIT_S)
-        # Enough of its time must be left for its answer.
-        back_until = min(soon, now + (until - now) * _BACK_SHARE)
-        await self._wait_while(few_left, fingerprint, back_until, _LOOK_S)
+        bounded_until = min(until, now + _MAX_SERIAL_WAIT_S)
+        # Enough time must be left to answer the request.
+        restart_wait_until = min(
+            bounded_until, now + (until - now) * _RESTART_WAIT_SHARE
+        )
+        await self._wait_while(
+            few_left, fingerprint, restart_wait_until, _CHECK_INTERVAL_S
+        )
         await self._wait_while(
-            lambda: _SEVERAL_TURN in self._under_way, fingerprint, soon
+            lambda: _SHARED_TURN_KEY in self._in_progress,
+            fingerprint,
+            bounded_until,
         )
-        with self._held_here(_SEVERAL_TURN):
-            async with self._turn(_SEVERAL_TURN, fingerprint, soon, until):
+        with self._marked_in_progress(_SHARED_TURN_KEY):
+            async with self._held_turn(
+                _SHARED_TURN_KEY, fingerprint, bounded_until, until
+            ):
                 yield
 
     @contextlib.contextmanager
-    def _held_here(self, key: bytes) -> Iterator[None]:
-        """Keeps a key under way at this entry, unless another one does."""
-        is_first = key not in self._under_way
-        self._under_way.add(key)
+    def _marked_in_progress(self, key: bytes) -> Iterator[None]:
+        """Marks a key as in progress here, unless another copy has done so."""
+        is_owner = key not in self._in_progress
+        self._in_progress.add(key)
         try:
             yield
         finally:
-            if is_first:
-                self._under_way.discard(key)
+            if is_owner:
+                self._in_progress.discard(key)
                 self._changed.give()
 
     @contextlib.asynccontextmanager
-    async def _turn(
+    async def _held_turn(
         self, key: bytes, fingerprint: bytes, wait_until: float, until: float
     ) -> AsyncIterator[None]:
         """Waits for this entry's turn in the fleet, and holds it.
 
         Args:
-            key: names the turn.
-            fingerprint: of the request.
-            wait_until: loop time at which it goes on without a turn.
-            until: loop time at which the request's own time is over.
+            key: key of the turn.
+            fingerprint: fingerprint of the request.
+            wait_until: loop time at which it proceeds without a turn.
+            until: loop time of the request's deadline.
         """
         if self._hold_turn is None:
             yield
             return
         granted = asyncio.Event()
 
-        def come() -> None:
+        def on_granted() -> None:
             granted.set()
             self._changed.give()
 
         left_s = max(0.0, until - now_s())
-        holding = asyncio.ensure_future(self._hold_turn(key, left_s, come))
+        turn_task = asyncio.ensure_future(
+            self._hold_turn(key, left_s, on_granted)
+        )
         try:
             await self._wait_while(
                 lambda: not granted.is_set(), fingerprint, wait_until
             )
             yield
         finally:
-            await end_all([holding])
+            await end_all([turn_task])
 
     async def _wait_while(
         self,
-        is_held: Callable[[], bool],
+        condition: Callable[[], bool],
         fingerprint: bytes,
         until: float,
-        look_s: float = math.inf,
+        check_interval_s: float = math.inf,
     ) -> None:
-        """Waits until something no longer holds, or nobody need wait.
+        """Waits until a condition ends or the request no longer has to wait.
 
         Args:
-            is_held: whether it holds; asked after each change.
-            fingerprint: of the request.
+            condition: the condition, checked after each change.
+            fingerprint: fingerprint of the request.
             until: loop time at which the wait ends.
-            look_s: how often it is asked anyhow.
+            check_interval_s: interval at which the condition is checked without
+                a change.
         """
-        while is_held() and self._waits(fingerprint) and now_s() < until:
-            seen = self._changed.count
-            await self._changed.wait(seen, min(look_s, until - now_s()))
+        while (
+            condition()
+            and self._must_run_alone(fingerprint)
+            and now_s() < until
+        ):
+            last_count = self._changed.count
+            await self._changed.wait(
+                last_count, min(check_interval_s, until - now_s())
+            )
 
-    def _waits(self, fingerprint: bytes) -> bool:
-        """Whether copies go one by one: neither cleared nor refused."""
-        return self._book.is_suspect(
+    def _must_run_alone(self, fingerprint: bytes) -> bool:
+        """Whether its copies run one by one: neither cleared nor refused."""
+        return self._registry.is_suspect(
             fingerprint
-        ) and not self._book.quarantined_s(fingerprint)
+        ) and not self._registry.quarantined_s(fingerprint)
--- a/damaskcroft/quarantine/_fingerprint.py
+++ b/damaskcroft/quarantine/_fingerprint.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same, whichever entry they come to."""
+"""Fingerprints that identify equal requests at all entries."""
 
 import hashlib
 
@@ -11,15 +11,15 @@
 def fingerprint(
     customer: str, host: str, method: bytes, target: bytes, body: bytes
 ) -> bytes:
-    """A digest (BLAKE2b, RFC 7693) of what a target is asked to do.
+    """A digest (BLAKE2b, RFC 7693) of what a request asks of its target.
 
-    The customer is part of it, so that nobody's requests can be refused for
-    what another customer has sent. The request id is not, since a copy has
-    one of its own.
+    It includes the customer, so that no customer's requests can be refused for
+    what another customer has sent. It excludes the request id, because each
+    copy has its own.
 
     Args:
-        customer: whose request it is; empty on public routes.
-        host: as the caller named it.
+        customer: the customer that sends the request; empty on public routes.
+        host: host as sent by the caller.
         method: for example b"POST".
         target: path and query.
         body: the whole body.
--- a/damaskcroft/quarantine/_recent_answers.py
+++ b/damaskcroft/quarantine/_recent_answers.py
@@ -1,8 +1,8 @@
-"""Requests that have lately run to their end.
+"""Record of requests that have recently been answered.
 
-The same request comes again and again from many callers, as one that reads a
-status does; it then runs on most targets that crash for other reasons. That it
-was answered shortly before speaks against it as their cause.
+Many callers send the same request repeatedly, for example to read a status, so
+that it is running on most targets that crash for other reasons. A recent answer
+to it is evidence that it is not the cause.
 """
 
 import collections
@@ -11,35 +11,36 @@
 
 __all__ = ["MOST_NOTED_BYTES", "RecentAnswers"]
 
-# Hashing a larger body for each answer costs too much; what many callers send
-# alike is short.
+# Hashing a larger body for each answer costs too much, and requests that many
+# callers send alike are short.
 MOST_NOTED_BYTES = 64 * 1024
 
-# Later the weights, or what a target keeps, may have changed.
-_KEPT_S = 60.0
-_MOST = 4096
+# After this time the weights, or the state that a target keeps, may have
+# changed.
+_RETENTION_S = 60.0
+_MAX_ENTRIES = 4096
 
 
 class RecentAnswers:
-    """Fingerprints of requests with the time of their last whole answer."""
+    """Fingerprints of requests with the time of their last complete answer."""
 
     __slots__ = ("_answered_at",)
 
     def __init__(self) -> None:
-        """Starts without any."""
-        # The latest is the last.
+        """Starts without any recorded answer."""
+        # Ordered by time, the latest last.
         self._answered_at: collections.OrderedDict[bytes, float] = (
             collections.OrderedDict()
         )
 
     def note(self, fingerprint: bytes) -> None:
-        """Takes note of a whole answer that is no failure."""
+        """Records a complete answer that is not a failure."""
         self._answered_at[fingerprint] = now_s()
         self._answered_at.move_to_end(fingerprint)
-        if len(self._answered_at) > _MOST:
+        if len(self._answered_at) > _MAX_ENTRIES:
             self._answered_at.popitem(last=False)
 
     def has(self, fingerprint: bytes) -> bool:
         """Whether a request was answered shortly before."""
         at = self._answered_at.get(fingerprint)
-        return at is not None and now_s() - at < _KEPT_S
+        return at is not None and now_s() - at < _RETENTION_S
--- a/damaskcroft/quarantine/_turns.py
+++ b/damaskcroft/quarantine/_turns.py
@@ -1,8 +1,10 @@
-"""Turns of a fleet's entries to send copies of one suspect request.
+"""Turns of the entries of a fleet to send copies of a suspect request.
 
-Copies that several entries send at the same moment would crash a target each,
-so entries ask one node, which keeps no more than who waits. Where they can't,
-as in a cut, a copy more may run.
+A turn is the permission to send one copy of a suspect request, granted to one
+entry at a time. Copies that several entries send at the same moment would crash
+a target each, so the entries ask one node, which only keeps the queue of the
+entries that ask. Where they cannot reach it, as in a network partition, an
+additional copy may run.
 """
 
 import asyncio
@@ -15,27 +17,29 @@
 class Turns:
     """One turn at a time on each request, in the order of asking."""
 
-    __slots__ = ("_asking_by_fingerprint", "_locks_by_fingerprint")
+    __slots__ = ("_locks_by_fingerprint", "_requester_count_by_fingerprint")
 
     def __init__(self) -> None:
-        """Nobody has asked."""
+        """Starts without any turn held or asked for."""
         self._locks_by_fingerprint: dict[bytes, asyncio.Lock] = {}
-        # How many hold a turn or wait for it.
-        self._asking_by_fingerprint: dict[bytes, int] = {}
+        # Number of entries that hold a turn or wait for it.
+        self._requester_count_by_fingerprint: dict[bytes, int] = {}
 
     @contextlib.asynccontextmanager
     async def taken(self, fingerprint: bytes) -> AsyncIterator[None]:
-        """Waits for a turn, which lasts while the block runs."""
+        """Waits for a turn, which is held while the block runs."""
         lock = self._locks_by_fingerprint.setdefault(
             fingerprint, asyncio.Lock()
         )
-        asking = self._asking_by_fingerprint.get(fingerprint, 0)
-        self._asking_by_fingerprint[fingerprint] = asking + 1
+        requester_count = self._requester_count_by_fingerprint.get(
+            fingerprint, 0
+        )
+        self._requester_count_by_fingerprint[fingerprint] = requester_count + 1
         try:
             async with lock:
                 yield
         finally:
-            self._asking_by_fingerprint[fingerprint] -= 1
-            if not self._asking_by_fingerprint[fingerprint]:
-                del self._asking_by_fingerprint[fingerprint]
+            self._requester_count_by_fingerprint[fingerprint] -= 1
+            if not self._requester_count_by_fingerprint[fingerprint]:
+                del self._requester_count_by_fingerprint[fingerprint]
                 del self._locks_by_fingerprint[fingerprint]
--- a/damaskcroft/quarantine/tests/test_copies.py
+++ b/damaskcroft/quarantine/tests/test_copies.py
@@ -9,13 +9,13 @@
 
 
 class Fleet:
-    """Entries that take turns at one node; all know the same book."""
+    """Entries that take turns at one node and share one crash registry."""
 
-    def __init__(self, book, entries):
+    def __init__(self, registry, entries):
         self.turns = Turns()
-        self.book = book
-        self.copies = [Copies(book, self.hold) for _ in range(entries)]
-        self.under_way = self.most = 0
+        self.registry = registry
+        self.copies = [Copies(registry, self.hold) for _ in range(entries)]
+        self.in_progress = self.max_in_progress = 0
         self.ran = []
 
     async def hold(self, fingerprint, for_s, granted):
@@ -25,10 +25,10 @@
 
     async def run(self, copies, until=1e9, name=b"bad"):
         async with copies.one_at_a_time(name, until):
-            self.under_way += 1
-            self.most = max(self.most, self.under_way)
+            self.in_progress += 1
+            self.max_in_progress = max(self.max_in_progress, self.in_progress)
             await asyncio.sleep(1)
-            self.under_way -= 1
+            self.in_progress -= 1
             self.ran.append(asyncio.get_running_loop().time())
 
     async def run_all(self):
@@ -36,47 +36,51 @@
 
 
 @pytest.fixture
-def book(loop):
-    """Under b"bad" one target has crashed."""
-    book = CrashBook()
+def registry(loop):
+    """A registry in which one target has crashed under b"bad"."""
+    registry = CrashBook()
 
     async def scenario():
         suspect = quarantine_pb2.Suspect(fingerprint=b"bad", chain=1)
-        book.take(quarantine_pb2.TargetCrash(start_id="t", suspects=[suspect]))
+        registry.take(
+            quarantine_pb2.TargetCrash(start_id="t", suspects=[suspect])
+        )
 
     loop.run(scenario())
-    return book
+    return registry
 
 
-def test_suspects_run_one_after_another_and_others_beside_them(loop, book):
+def test_copies_of_suspects_run_serially_and_others_in_parallel(loop, registry):
     async def scenario():
-        copies = Copies(book)
-        under_way, most = 0, {}
+        copies = Copies(registry)
+        in_progress, max_in_progress = 0, {}
 
         async def run(name):
-            nonlocal under_way
+            nonlocal in_progress
             async with copies.one_at_a_time(name, 1e9):
-                under_way += 1
-                most[name] = max(most.get(name, 0), under_way)
+                in_progress += 1
+                max_in_progress[name] = max(
+                    max_in_progress.get(name, 0), in_progress
+                )
                 await asyncio.sleep(1)
-                under_way -= 1
+                in_progress -= 1
 
         await asyncio.gather(*(run(b"bad") for _ in range(3)))
         await asyncio.gather(*(run(b"good") for _ in range(3)))
-        assert most == {b"bad": 1, b"good": 3}
+        assert max_in_progress == {b"bad": 1, b"good": 3}
 
     loop.run(scenario())
 
 
-def test_once_cleared_all_that_wait_go_on(loop, book):
+def test_a_cleared_request_releases_all_waiting_copies(loop, registry):
     async def scenario():
-        copies = Copies(book)
+        copies = Copies(registry)
         ended = []
 
         async def run(number):
             async with copies.one_at_a_time(b"bad", 1e9):
                 await asyncio.sleep(1)
-                book.clear(b"bad")
+                registry.clear(b"bad")
                 ended.append(asyncio.get_running_loop().time())
 
         await asyncio.gather(*(run(n) for n in range(4)))
@@ -85,9 +89,9 @@
     loop.run(scenario())
 
 
-def test_a_copy_that_is_given_up_lets_the_next_one_go(loop, book):
+def test_a_cancelled_copy_releases_the_next_one(loop, registry):
     async def scenario():
-        copies = Copies(book)
+        copies = Copies(registry)
 
         async def run():
             async with copies.one_at_a_time(b"bad", 1e9):
@@ -103,15 +107,15 @@
     loop.run(scenario())
 
 
-def test_nobody_waits_longer_than_its_own_time(loop, book):
+def test_a_copy_waits_no_longer_than_its_deadline(loop, registry):
     async def scenario():
-        copies = Copies(book)
+        copies = Copies(registry)
 
         async def run(until):
             async with copies.one_at_a_time(b"bad", until):
-                began_at = asyncio.get_running_loop().time()
+                started_at = asyncio.get_running_loop().time()
                 await asyncio.sleep(10)
-            return began_at
+            return started_at
 
         outcomes = await asyncio.gather(*(run(until) for until in (20, 3)))
         assert outcomes == [0, 3]
@@ -119,62 +123,64 @@
     loop.run(scenario())
 
 
-def test_entries_take_turns(loop, book):
+def test_entries_send_copies_one_at_a_time(loop, registry):
     async def scenario():
-        fleet = Fleet(book, 5)
+        fleet = Fleet(registry, 5)
         await fleet.run_all()
-        assert fleet.most == 1
+        assert fleet.max_in_progress == 1
         assert fleet.ran == [1, 2, 3, 4, 5]
 
     loop.run(scenario())
 
 
-def test_no_entry_waits_for_its_turn_once_the_request_is_cleared(loop, book):
+def test_clearing_a_request_releases_entries_that_wait_for_turns(
+    loop, registry
+):
     async def scenario():
-        fleet = Fleet(book, 5)
+        fleet = Fleet(registry, 5)
         running = asyncio.create_task(fleet.run_all())
         await asyncio.sleep(1.5)
-        book.clear(b"bad")
+        registry.clear(b"bad")
         await running
         assert fleet.ran == [1, 2, 2.5, 2.5, 2.5]
 
     loop.run(scenario())
 
 
-def test_no_entry_waits_for_its_turn_once_the_request_is_refused(loop, book):
+def test_a_quarantine_releases_entries_that_wait_for_turns(loop, registry):
     async def scenario():
-        fleet = Fleet(book, 3)
+        fleet = Fleet(registry, 3)
         running = asyncio.create_task(fleet.run_all())
         await asyncio.sleep(0.5)
         for n in range(3):
             suspect = quarantine_pb2.Suspect(fingerprint=b"bad", chain=n + 1)
-            book.take(
+            registry.take(
                 quarantine_pb2.TargetCrash(start_id=f"{n}", suspects=[suspect])
             )
-        # Each looks at the verdict before it sends.
+        # Each checks the verdict before it sends.
         await running
         assert fleet.ran == [1, 1.5, 1.5]
 
     loop.run(scenario())
 
 
-def test_without_a_node_that_grants_turns_a_copy_goes_at_once(loop, book):
+def test_a_copy_runs_without_a_node_that_grants_turns(loop, registry):
     async def scenario():
         async def hold(fingerprint, for_s, granted):
             del fingerprint, for_s
             await asyncio.sleep(0.1)
             granted()
 
-        fleet = Fleet(book, 0)
-        await fleet.run(Copies(book, hold))
+        fleet = Fleet(registry, 0)
+        await fleet.run(Copies(registry, hold))
         assert fleet.ran == [1.1]
 
     loop.run(scenario())
 
 
-def test_a_turn_that_is_given_up_goes_to_the_next(loop, book):
+def test_a_cancelled_turn_passes_to_the_next_entry(loop, registry):
     async def scenario():
-        fleet = Fleet(book, 2)
+        fleet = Fleet(registry, 2)
         first = asyncio.create_task(fleet.run(fleet.copies[0]))
         await asyncio.sleep(0.5)
         second = asyncio.create_task(fleet.run(fleet.copies[1]))
@@ -185,20 +191,21 @@
     loop.run(scenario())
 
 
-@pytest.mark.parametrize(("chain", "most"), [(1, 2), (2, 1)])
+@pytest.mark.parametrize(("chain", "max_in_progress"), [(1, 2), (2, 1)])
 @pytest.mark.parametrize("entries", [1, 2])
-def test_requests_of_several_crashes_do_not_run_beside_each_other(
-    loop, entries, chain, most
+def test_suspects_of_several_crashes_run_serially(
+    loop, entries, chain, max_in_progress
 ):
-    # Against a sound request refused for the crashes of one beside it.
+    # Guards against refusing an innocent request for the crashes of one that
+    # runs beside it.
     async def scenario():
-        book = CrashBook()
+        registry = CrashBook()
         for name in (b"bad", b"sound"):
             suspect = quarantine_pb2.Suspect(fingerprint=name, chain=chain)
-            book.take(
+            registry.take(
                 quarantine_pb2.TargetCrash(start_id="t", suspects=[suspect])
             )
-        fleet = Fleet(book, entries)
+        fleet = Fleet(registry, entries)
         places = (fleet.copies[0], fleet.copies[-1])
         await asyncio.gather(
             *(
@@ -206,31 +213,31 @@
                 for copies, name in zip(places, (b"bad", b"sound"), strict=True)
             )
         )
-        assert fleet.most == most
+        assert fleet.max_in_progress == max_in_progress
 
     loop.run(scenario())
 
 
-def test_a_request_of_several_crashes_waits_only_so_long_for_others(loop):
+def test_a_suspect_of_several_crashes_waits_for_others_for_a_bounded_time(loop):
     async def scenario():
-        book = CrashBook()
+        registry = CrashBook()
         for name in (b"bad", b"sound"):
             suspect = quarantine_pb2.Suspect(fingerprint=name, chain=2)
-            book.take(
+            registry.take(
                 quarantine_pb2.TargetCrash(start_id="t", suspects=[suspect])
             )
-        copies = Copies(book)
+        copies = Copies(registry)
         loop = asyncio.get_running_loop()
 
-        async def run_for_long():
+        async def run_long_request():
             async with copies.one_at_a_time(b"bad", 1e9):
                 await asyncio.sleep(30)
 
-        running = asyncio.create_task(run_for_long())
+        running = asyncio.create_task(run_long_request())
         await asyncio.sleep(0)
-        began_at = loop.time()
+        started_at = loop.time()
         async with copies.one_at_a_time(b"sound", 1e9):
-            assert loop.time() - began_at < 5
+            assert loop.time() - started_at < 5
         await running
 
     loop.run(scenario())
@@ -239,15 +246,17 @@
 @pytest.mark.parametrize(
     ("chain", "back_at_s", "begins_at_s"), [(1, 9, 0), (2, 1, 1), (2, 9, 2)]
 )
-def test_after_several_crashes_a_request_waits_a_while_for_targets(
+def test_a_suspect_of_several_crashes_waits_for_targets_to_restart(
     loop, chain, back_at_s, begins_at_s
 ):
-    # Against the last targets lost to requests that crash them.
+    # Guards against losing the last targets to requests that crash them.
     async def scenario():
-        book = CrashBook()
+        registry = CrashBook()
         suspect = quarantine_pb2.Suspect(fingerprint=b"bad", chain=chain)
-        book.take(quarantine_pb2.TargetCrash(start_id="t", suspects=[suspect]))
-        copies = Copies(book)
+        registry.take(
+            quarantine_pb2.TargetCrash(start_id="t", suspects=[suspect])
+        )
+        copies = Copies(registry)
         now = asyncio.get_running_loop().time
         async with copies.one_at_a_time(b"bad", 1e9, lambda: now() < back_at_s):
             assert now() == pytest.approx(begins_at_s, abs=0.1)
--- a/damaskcroft/quarantine/tests/test_several_culprits.py
+++ b/damaskcroft/quarantine/tests/test_several_culprits.py
@@ -5,30 +5,36 @@
 
 import pytest
 
-from damaskcroft.quarantine.tests.fleet_plays import Delays, SimulatedFleet
+from damaskcroft.quarantine.tests.fleet_simulation import Delays, SimulatedFleet
 
 _COPIES = 12
 _COPY_EVERY_S = 1.0
-_SOUND_EVERY_S = 0.04
-# Three, and one more where two of them met at a target.
+_INNOCENT_EVERY_S = 0.04
+# Three, and one more where two such requests ran on the same target.
 _MAX_CRASHES_OF_ONE = 4
-_BUSY = Delays(sent_s=0.03, news_s=0.3, look_s=0.1, announced_s=1.0)
-_SLOW = Delays(sent_s=0.1, news_s=0.6, look_s=0.3, announced_s=1.5)
+_BUSY = Delays(send_s=0.03, publish_s=0.3, check_s=0.1, announce_s=1.0)
+_SLOW = Delays(send_s=0.1, publish_s=0.6, check_s=0.3, announce_s=1.5)
 
 
-async def crash_some(fleet, culprits):
-    """Copies of each culprit, beside sound requests."""
-    sounds = (b"sound %d" % number for number in itertools.count())
+async def run_culprits(fleet, culprits):
+    """Sends copies of several requests that crash targets, and innocent ones.
+
+    Returns:
+        The requests that any entry refuses.
+    """
+    innocent_requests = (b"sound %d" % number for number in itertools.count())
     async with fleet.running():
-        calling = asyncio.create_task(fleet.call_every(_SOUND_EVERY_S, sounds))
+        innocent_task = asyncio.create_task(
+            fleet.send_every(_INNOCENT_EVERY_S, innocent_requests)
+        )
         async with asyncio.TaskGroup() as group:
             for number in range(culprits):
                 name = b"crash %d" % number
-                copies = fleet.ask_in_a_row(name, _COPIES, _COPY_EVERY_S)
+                copies = fleet.send_in_sequence(name, _COPIES, _COPY_EVERY_S)
                 group.create_task(copies)
                 await asyncio.sleep(_COPY_EVERY_S / culprits)
-        calling.cancel()
-    return fleet.held()
+        innocent_task.cancel()
+    return fleet.quarantined_requests()
 
 
 @pytest.mark.parametrize("delays", [Delays(), _BUSY, _SLOW])
@@ -36,14 +42,17 @@
     ("culprits", "targets", "entries"), [(6, 10, 2), (9, 20, 4)]
 )
 @pytest.mark.parametrize("seed", range(8))
-def test_each_of_several_culprits_is_held_after_few_crashes(
+def test_each_of_several_culprits_is_quarantined_after_few_crashes(
     loop, seed, culprits, targets, entries, delays
 ):
-    # Against one that meets others at a target, whose crashes they explain.
+    # Guards against a request that runs beside others of its kind, which
+    # explain its crashes, so that it goes on crashing targets.
     async def scenario():
         fleet = SimulatedFleet(seed, targets, entries, delays)
-        held = await crash_some(fleet, culprits)
-        assert held == {b"crash %d" % number for number in range(culprits)}
+        quarantined = await run_culprits(fleet, culprits)
+        assert quarantined == {
+            b"crash %d" % number for number in range(culprits)
+        }
         most = max(len(times) for times in fleet.crashes.values())
         assert most <= _MAX_CRASHES_OF_ONE
 
