--- a/damaskcroft/entry/__init__.py
+++ b/damaskcroft/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The program damask-entry: callers' HTTP, admission and dispatch."""
+"""The program damask-entry: HTTP for callers, admission and dispatch."""
--- a/damaskcroft/entry/_answers.py
+++ b/damaskcroft/entry/_answers.py
@@ -1,4 +1,4 @@
-"""What callers get: whole answers, kept ones, and how streams break."""
+"""HTTP responses to callers: complete, replayed and interrupted answers."""
 
 import dataclasses
 import json
@@ -13,45 +13,47 @@
 from damaskcroft.entry._refusals import (
     Ran,
     Refusal,
-    note_refusal,
+    record_refusal,
     refusal_body,
     refusal_response,
 )
 from damaskcroft.observe import log_event, metrics
 
-_RETRY_S = 1.0
+_RETRY_AFTER_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Whole:
-    """The target's whole answer; nothing of it was passed on before."""
+class CompleteAnswer:
+    """A complete answer of the target, buffered before any of it is sent."""
 
     head: agent_pb2.RunHead
     body: bytes
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Final:
-    """What the caller gets.
+class FinalResponse:
+    """The response to a caller, with its cleanup.
 
     Attributes:
-        response: to be sent.
-        close: gives back what the response holds; called when it is over,
-            sent or not.
+        response: the response to send.
+        close: releases the resources of the response; called once the
+            response has ended, whether it was sent or not.
     """
 
     response: Response
     close: Callable[[], Awaitable[None]]
 
 
-def whole_response(
-    call: Call, outcome: Whole | ClaimAnswered | Refusal, arrived_at: float
+def buffered_response(
+    call: Call,
+    outcome: CompleteAnswer | ClaimAnswered | Refusal,
+    arrived_at: float,
 ) -> Response:
-    """The HTTP answer that is sent in one piece."""
+    """Builds the response for an outcome that is not streamed."""
     if isinstance(outcome, Refusal):
         return refusal_response(outcome, call.request_id)
     if isinstance(outcome, ClaimAnswered):
-        return _kept_response(call, outcome.answer)
+        return _replayed_response(call, outcome.answer)
     observe_first_token(call, arrived_at)
     metrics.ANSWERS.labels("whole").inc()
     return Response(
@@ -63,32 +65,32 @@
 
 
 def answer_headers(call: Call, version: str) -> dict[str, str]:
-    """Headers of every answer that a target gave."""
+    """Builds the headers of every answer that comes from a target."""
     return {"X-Request-Id": call.request_id, "Damask-Version": version}
 
 
-def final_of(response: Response) -> Final:
-    """A response that holds nothing to be given back."""
+def final_response(response: Response) -> FinalResponse:
+    """Wraps a response that needs no cleanup."""
 
     async def close() -> None:
         return None
 
-    return Final(response, close)
+    return FinalResponse(response, close)
 
 
-def lost_refusal(reason: str) -> Refusal:
-    """The refusal when no telling whether the target ran it."""
+def unknown_outcome_refusal(reason: str) -> Refusal:
+    """Builds the refusal of a request that the target may have run."""
     status = 504 if reason == "deadline" else 502
-    return Refusal(reason, status, Ran.UNKNOWN, _RETRY_S)
+    return Refusal(reason, status, Ran.UNKNOWN, _RETRY_AFTER_S)
 
 
-def failure_word(event: agent_pb2.RunEvent) -> str:
-    """The fixed word for a failed event."""
+def failure_reason(event: agent_pb2.RunEvent) -> str:
+    """Returns the reason of a failed event as it is logged and counted."""
     name = agent_pb2.FailureReason.Name(event.failed.reason)
     return name.removeprefix("FAILED_").lower()
 
 
-def _kept_response(call: Call, answer: control_pb2.KeptAnswer) -> Response:
+def _replayed_response(call: Call, answer: control_pb2.KeptAnswer) -> Response:
     if answer.dropped:
         refusal = Refusal("answer_not_kept", 409, Ran.RAN)
         return refusal_response(refusal, call.request_id)
@@ -106,14 +108,14 @@
 
 
 def error_event(call: Call, reason: str) -> bytes:
-    """The typed error that ends a broken stream; counted and logged."""
-    refusal = Refusal(reason, 200, Ran.UNKNOWN, _RETRY_S)
-    note_refusal(refusal, call.request_id)
+    """Builds the typed error that ends a broken stream; counts and logs it."""
+    refusal = Refusal(reason, 200, Ran.UNKNOWN, _RETRY_AFTER_S)
+    record_refusal(refusal, call.request_id)
     document = json.dumps(refusal_body(refusal, call.request_id))
     return f"event: error\ndata: {document}\n\n".encode()
 
 
 def observe_first_token(call: Call, arrived_at: float) -> None:
-    """Measures arrival to first body byte."""
+    """Records the time from the arrival of a call to its first body byte."""
     took_s = now_s() - arrived_at
     metrics.FIRST_TOKEN_S.labels(call.priority).observe(took_s)
--- a/damaskcroft/entry/_calls.py
+++ b/damaskcroft/entry/_calls.py
@@ -1,4 +1,4 @@
-"""Reads a caller's HTTP request into a typed call, or a typed refusal.
+"""Parses a caller's HTTP request into a typed call or a typed refusal.
 
 Headers: Idempotency-Key (draft-ietf-httpapi-idempotency-key-header),
 Damask-Customer, Damask-District, Damask-Priority, Damask-Deadline-Ms and
@@ -15,29 +15,30 @@
 from damaskcroft.entry._refusals import Ran, Refusal
 from damaskcroft.routing._pools import service_pool
 
-_PRIORITIES_BY_WORD = {"alert": 0, "ping": 1, "draft": 2}
+_PRIORITIES_BY_NAME = {"alert": 0, "ping": 1, "draft": 2}
 _MAX_KEY_LENGTH = 255
 _MAX_DEADLINE_MS = 3_600_000
-_PREFIX_CHARACTERS = 256
+_MAX_PREFIX_CHARACTERS = 256
 _SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """One caller's request, checked.
+    """A validated request of a caller.
 
     Attributes:
-        request_id: names it in logs, replies and at the target.
+        request_id: identifies the request in logs, replies and at the target.
         method: HTTP method.
         path: path at the target, with the query.
-        content_type: of the body.
-        body: as it came.
+        content_type: content type of the body.
+        body: the body as received.
         pool: model or service that must answer.
-        customer: who asks.
-        district: where the answer should come from.
+        customer: the customer that sends the request.
+        district: preferred region of the target.
         priority: 0 alert, 1 ping, 2 drafting.
-        deadline_s: time that the caller allows.
-        key: idempotency key; set exactly if it must run at most once.
+        deadline_s: time that the caller allows for the answer.
+        key: idempotency key; set if and only if the request must run at most
+            once.
         prefix: start of the prompt, for cache affinity.
     """
 
@@ -56,44 +57,46 @@
 
 
 class CallReader:
-    """Reads calls at one entry.
+    """Parses the requests that one entry receives.
 
     Args:
-        region: this entry's district, for callers that name none.
-        default_deadline_s: for callers that name none.
-        max_body_bytes: larger bodies are refused.
+        region: region of this entry; the default district of a call.
+        default_deadline_s: deadline of a call that sets none.
+        max_body_bytes: maximum size of a body; larger ones are refused.
     """
 
     def __init__(
         self, region: str, default_deadline_s: float, max_body_bytes: int
     ):
-        """See the class."""
+        """Takes the defaults and bounds described by the class."""
         self._region = region
         self._default_deadline_s = default_deadline_s
         self._max_body_bytes = max_body_bytes
 
     async def read_completion(self, request: Request) -> Call | Refusal:
-        """Reads a call to a model; repeatable unless it carries a key."""
-        body = await self._body(request)
+        """Parses a call to a model; it is repeatable unless it has a key."""
+        body = await self._read_body(request)
         if isinstance(body, Refusal):
             return body
-        document = _json_object(body)
+        document = _parse_json_object(body)
         if isinstance(document, Refusal):
             return document
         model = document.get("model")
         if not isinstance(model, str) or not model:
             return Refusal("missing_model", 400, Ran.NOT_RUN, detail="model")
         path = request.url.path
-        prefix = _prefix(document)
-        return self._call(request, body, path, model, prefix, needs_key=False)
+        prefix = _prompt_prefix(document)
+        return self._validated_call(
+            request, body, path, model, prefix, needs_key=False
+        )
 
     async def read_service(self, request: Request) -> Call | Refusal:
-        """Reads a call to a plain service.
+        """Parses a call to a plain service.
 
-        Anything but GET, HEAD and OPTIONS may do something once only, unless
-        the caller says that it may be repeated.
+        Every method except GET, HEAD and OPTIONS counts as not idempotent and
+        needs a key, unless the caller declares the request repeatable.
         """
-        body = await self._body(request)
+        body = await self._read_body(request)
         if isinstance(body, Refusal):
             return body
         service = request.path_params["service"]
@@ -104,7 +107,7 @@
             request.method in _SAFE_METHODS
             or request.headers.get("Damask-Repeatable") == "yes"
         )
-        return self._call(
+        return self._validated_call(
             request,
             body,
             path,
@@ -113,20 +116,20 @@
             needs_key=not repeatable,
         )
 
-    async def _body(self, request: Request) -> bytes | Refusal:
-        pieces: list[bytes] = []
+    async def _read_body(self, request: Request) -> bytes | Refusal:
+        chunks: list[bytes] = []
         size_bytes = 0
         try:
-            async for piece in request.stream():
-                size_bytes += len(piece)
+            async for chunk in request.stream():
+                size_bytes += len(chunk)
                 if size_bytes > self._max_body_bytes:
                     return Refusal("body_too_large", 413, Ran.NOT_RUN)
-                pieces.append(piece)
+                chunks.append(chunk)
         except ClientDisconnect:
             return Refusal("caller_left", 499, Ran.NOT_RUN)
-        return b"".join(pieces)
+        return b"".join(chunks)
 
-    def _call(
+    def _validated_call(
         self,
         request: Request,
         body: bytes,
@@ -145,9 +148,11 @@
             return Refusal("missing_idempotency_key", 400, Ran.NOT_RUN)
         if len(key) > _MAX_KEY_LENGTH:
             return Refusal("idempotency_key_too_long", 400, Ran.NOT_RUN)
-        word = headers.get("Damask-Priority", "draft")
-        if word not in _PRIORITIES_BY_WORD:
-            return Refusal("unknown_priority", 400, Ran.NOT_RUN, detail=word)
+        priority_name = headers.get("Damask-Priority", "draft")
+        if priority_name not in _PRIORITIES_BY_NAME:
+            return Refusal(
+                "unknown_priority", 400, Ran.NOT_RUN, detail=priority_name
+            )
         deadline_s = self._deadline_s(headers.get("Damask-Deadline-Ms"))
         if isinstance(deadline_s, Refusal):
             return deadline_s
@@ -160,7 +165,7 @@
             pool=pool,
             customer=customer,
             district=headers.get("Damask-District", self._region),
-            priority=_PRIORITIES_BY_WORD[word],
+            priority=_PRIORITIES_BY_NAME[priority_name],
             deadline_s=deadline_s,
             key=key,
             prefix=prefix,
@@ -174,7 +179,7 @@
         return int(text) / 1000
 
 
-def _json_object(body: bytes) -> dict[str, Any] | Refusal:
+def _parse_json_object(body: bytes) -> dict[str, Any] | Refusal:
     try:
         document = json.loads(body)
     except UnicodeDecodeError:
@@ -182,14 +187,14 @@
     except (ValueError, RecursionError):
         return Refusal("invalid_json", 400, Ran.NOT_RUN)
     if not isinstance(document, dict):
-        return Refusal("invalid_json", 400, Ran.NOT_RUN, detail="no object")
+        return Refusal("invalid_json", 400, Ran.NOT_RUN, detail="not an object")
     return document
 
 
-def _prefix(document: dict[str, Any]) -> bytes:
+def _prompt_prefix(document: dict[str, Any]) -> bytes:
     prompt = document.get("prompt")
     if prompt is None:
         prompt = json.dumps(document.get("messages", ""))
     if not isinstance(prompt, str):
         prompt = json.dumps(prompt)
-    return prompt[:_PREFIX_CHARACTERS].encode(errors="replace")
+    return prompt[:_MAX_PREFIX_CHARACTERS].encode(errors="replace")
--- a/damaskcroft/entry/_claims.py
+++ b/damaskcroft/entry/_claims.py
@@ -1,4 +1,4 @@
-"""An entry's side of at-most-once claims."""
+"""Client of the at-most-once claims that the leader of control keeps."""
 
 import asyncio
 import dataclasses
@@ -19,38 +19,38 @@
 from damaskcroft.rpc import CALL_ERRORS, ChannelPool
 
 _CALL_TIMEOUT_S = 3.0
-_JOIN_WAIT_S = 1.0
+_MAX_CLAIM_WAIT_S = 1.0
 _INQUIRE_TIMEOUT_S = 1.0
-_RETRY_S = 1.0
-_LEADER_TRIES = 4
-_LEADER_PAUSE_S = 0.1
+_RETRY_AFTER_S = 1.0
+_MAX_LEADER_ATTEMPTS = 4
+_LEADER_RETRY_PAUSE_S = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimHeld:
-    """This entry may run the request once, at the bound target."""
+class ClaimGranted:
+    """This entry may run the request once, at the target of the claim."""
 
     run_number: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimAnswered:
-    """The request ran before; this is its kept answer."""
+    """The request has run before; this is its stored answer."""
 
     answer: control_pb2.KeptAnswer
 
 
-class Claimant:
-    """Claims and settles at the leader, for one entry.
+class ClaimClient:
+    """Claims and settles requests at the leader, for one entry.
 
     Args:
-        entry_id: this entry.
-        client: knows the leader and the roster.
+        entry_id: id of this entry.
+        client: source of the leader's address and of the roster.
         pool: channels to control and agents.
     """
 
     def __init__(self, entry_id: str, client: LeaseClient, pool: ChannelPool):
-        """See the class."""
+        """Takes the entry's id, its lease client and its channels."""
         self._entry_id = entry_id
         self._client = client
         self._pool = pool
@@ -61,14 +61,15 @@
         target: Target,
         deadline_at: float,
         replaces_run: int,
-    ) -> ClaimHeld | ClaimAnswered | Refusal:
-        """Gets the right to run a call, or what became of an earlier run.
+    ) -> ClaimGranted | ClaimAnswered | Refusal:
+        """Requests the right to run a call, or the outcome of an earlier run.
 
         Args:
             call: a call with an idempotency key.
-            target: whom the claim is bound to.
-            deadline_at: on the monotonic clock, in seconds.
-            replaces_run: an own run that was certified not run, or 0.
+            target: the target that the claim is bound to.
+            deadline_at: deadline on the monotonic clock, in seconds.
+            replaces_run: number of an earlier run of this entry that
+                certainly did not happen, or 0.
         """
         request = control_pb2.ClaimRequest(
             customer=call.customer,
@@ -82,27 +83,29 @@
         while True:
             remaining_s = deadline_at - now_s()
             if remaining_s <= 0:
-                return Refusal("in_progress", 409, Ran.UNKNOWN, _RETRY_S)
-            request.wait_ms = int(min(_JOIN_WAIT_S, remaining_s / 2) * 1000)
-            reply = await self._ask_leader(request)
-            decided = self._decided(reply)
-            if decided is not None:
-                return decided
-            # Someone else's run: is it still going on where it was bound?
-            refusal = await self._resolve(call, reply)
+                return Refusal("in_progress", 409, Ran.UNKNOWN, _RETRY_AFTER_S)
+            request.wait_ms = int(
+                min(_MAX_CLAIM_WAIT_S, remaining_s / 2) * 1000
+            )
+            reply = await self._claim_at_leader(request)
+            decision = self._decision(reply)
+            if decision is not None:
+                return decision
+            # Another entry holds the claim: ask its target about the run.
+            refusal = await self._resolve_run(call, reply)
             if refusal is not None:
                 return refusal
 
     async def settle_not_run(self, call: Call, run_number: int) -> None:
-        """Ends a claim whose run certainly did not happen."""
+        """Settles a claim whose run certainly did not happen."""
         await self._settle(call, run_number, control_pb2.RESULT_NOT_RUN)
 
-    def _decided(
+    def _decision(
         self, reply: control_pb2.ClaimReply
-    ) -> ClaimHeld | ClaimAnswered | Refusal | None:
+    ) -> ClaimGranted | ClaimAnswered | Refusal | None:
         match reply.outcome:
             case control_pb2.CLAIM_GRANTED:
-                return ClaimHeld(reply.run_number)
+                return ClaimGranted(reply.run_number)
             case control_pb2.CLAIM_KEPT:
                 return ClaimAnswered(reply.answer)
             case control_pb2.CLAIM_OTHER_BODY:
@@ -112,19 +115,21 @@
             case control_pb2.CLAIM_FULL:
                 return Refusal("too_many_claims", 429, Ran.NOT_RUN, 60.0)
             case control_pb2.CLAIM_NO_QUORUM:
-                return Refusal("no_quorum", 503, Ran.NOT_RUN, _RETRY_S)
+                return Refusal("no_quorum", 503, Ran.NOT_RUN, _RETRY_AFTER_S)
             case control_pb2.CLAIM_UNDECIDED:
-                # Perhaps claimed, but sent to no target: only this entry
-                # could have sent it, and it will not.
-                return Refusal("claim_undecided", 503, Ran.NOT_RUN, _RETRY_S)
+                # The claim may exist, but the request has reached no target:
+                # only this entry could send it, and it does not.
+                return Refusal(
+                    "claim_undecided", 503, Ran.NOT_RUN, _RETRY_AFTER_S
+                )
         return None
 
-    async def _ask_leader(
+    async def _claim_at_leader(
         self, request: control_pb2.ClaimRequest
     ) -> control_pb2.ClaimReply:
         leader = self._client.leader_address
         reply = control_pb2.ClaimReply(outcome=control_pb2.CLAIM_NO_QUORUM)
-        for _ in range(_LEADER_TRIES):
+        for _ in range(_MAX_LEADER_ATTEMPTS):
             stub = control_grpc.ControlStub(self._pool.channel(leader))
             timeout_s = _CALL_TIMEOUT_S + request.wait_ms / 1000
             try:
@@ -140,17 +145,17 @@
             if reply.outcome != control_pb2.CLAIM_NO_QUORUM:
                 return reply
             if not reply.leader or reply.leader == leader:
-                await asyncio.sleep(_LEADER_PAUSE_S)
+                await asyncio.sleep(_LEADER_RETRY_PAUSE_S)
             leader = reply.leader or self._client.leader_address
         return reply
 
-    async def _resolve(
+    async def _resolve_run(
         self, call: Call, reply: control_pb2.ClaimReply
     ) -> Refusal | None:
-        """Finds out about a run in progress; None means: ask again."""
+        """Checks a run in progress at its agent; None means: claim again."""
         holder = self._client.roster.holders_by_id.get(reply.agent)
         if holder is None:
-            return Refusal("outcome_unknown", 409, Ran.UNKNOWN, _RETRY_S)
+            return Refusal("outcome_unknown", 409, Ran.UNKNOWN, _RETRY_AFTER_S)
         stub = agent_grpc.AgentStub(self._pool.channel(holder.address))
         inquiry = agent_pb2.InquireRequest(
             customer=call.customer,
@@ -161,7 +166,7 @@
         try:
             answer = await stub.Inquire(inquiry, timeout=_INQUIRE_TIMEOUT_S)
         except CALL_ERRORS:
-            return Refusal("outcome_unknown", 409, Ran.UNKNOWN, _RETRY_S)
+            return Refusal("outcome_unknown", 409, Ran.UNKNOWN, _RETRY_AFTER_S)
         if answer.outcome == agent_pb2.INQUIRE_NEVER_SEEN:
             log_event(
                 "claim_recovered",
@@ -170,7 +175,8 @@
             )
             await self.settle_not_run(call, reply.run_number)
         if answer.outcome == agent_pb2.INQUIRE_OTHER_INCARNATION:
-            # The process that may have run it is gone, and its answer too.
+            # The process that may have run the request has ended, and its
+            # answer is lost with it.
             await self._settle(
                 call, reply.run_number, control_pb2.RESULT_UNKNOWN
             )
@@ -186,18 +192,19 @@
             result=result,
         )
         leader = self._client.leader_address
-        for _ in range(_LEADER_TRIES):
+        for _ in range(_MAX_LEADER_ATTEMPTS):
             stub = control_grpc.ControlStub(self._pool.channel(leader))
             try:
                 reply = await stub.Settle(request, timeout=_CALL_TIMEOUT_S)
             except CALL_ERRORS:
-                await asyncio.sleep(_LEADER_PAUSE_S)
+                await asyncio.sleep(_LEADER_RETRY_PAUSE_S)
                 leader = self._client.leader_address
                 continue
             if reply.committed:
                 return
             leader = reply.leader or self._client.leader_address
-        # Not settled: the next arrival inquires at the agent again.
+        # The claim stays open: the next request with this key inquires at
+        # the agent again.
         log_event("settle_failed", request_id=call.request_id)
 
 
--- a/damaskcroft/entry/_lapses.py
+++ b/damaskcroft/entry/_lapses.py
@@ -1,4 +1,4 @@
-"""Ends waits for agents that control has declared lapsed."""
+"""Ends waits for agents whose lease has expired, where a retry is possible."""
 
 import asyncio
 import contextlib
@@ -7,45 +7,46 @@
 from damaskcroft.clock import now_s
 from damaskcroft.membership import Roster
 
-# Whether there is something better than to wait on.
-MayLeave = Callable[[], bool]
+# Whether the wait may end early, because another target can be tried.
+MayAbandon = Callable[[], bool]
 
 
-class LapseWatch:
-    """The waits now going on, by the agent that is waited for.
+class LeaseExpiryWatch:
+    """The waits in progress, by agent.
 
-    An agent that control no longer hears may still answer, so that a wait ends
-    only for something better. One task follows the roster for all of them; a
-    wait costs no task.
+    An agent that no longer reaches control may still answer, so that a wait
+    ends early only if another target can be tried. One task follows the roster
+    for all waits, so that a wait needs no task of its own.
 
     Args:
-        roster: tells whose lease has lapsed.
+        roster: source of the agents whose lease has expired.
     """
 
     def __init__(self, roster: Roster):
-        """See the class."""
+        """Takes the roster to follow; there are no waits at first."""
         self._roster = roster
-        self._waits_by_agent: dict[str, dict[asyncio.Timeout, MayLeave]] = {}
+        self._waits_by_agent: dict[str, dict[asyncio.Timeout, MayAbandon]] = {}
 
     @contextlib.contextmanager
-    def watched(
-        self, agent_id: str, limit: asyncio.Timeout, may_leave: MayLeave
+    def watch(
+        self, agent_id: str, timeout: asyncio.Timeout, may_abandon: MayAbandon
     ) -> Iterator[None]:
-        """Lets `limit` pass at once if the agent lapses within the block.
+        """Expires `timeout` at once if the agent's lease expires in the block.
 
         Args:
-            agent_id: who is waited for.
-            limit: of the wait.
-            may_leave: asked after each change while the agent is lapsed.
+            agent_id: the agent that is waited for.
+            timeout: timeout of the wait.
+            may_abandon: called after each change of the roster while the
+                lease is expired; `timeout` expires only if it returns True.
         """
-        if agent_id in self._roster.lapsed_ids and may_leave():
-            limit.reschedule(now_s())
+        if agent_id in self._roster.lapsed_ids and may_abandon():
+            timeout.reschedule(now_s())
         waits = self._waits_by_agent.setdefault(agent_id, {})
-        waits[limit] = may_leave
+        waits[timeout] = may_abandon
         try:
             yield
         finally:
-            del waits[limit]
+            del waits[timeout]
 
     async def run(self) -> None:
         """Follows the roster until cancelled."""
@@ -54,6 +55,6 @@
                 await self._roster.changed.wait()
             for agent_id in self._roster.lapsed_ids:
                 waits = self._waits_by_agent.get(agent_id, {})
-                for limit, may_leave in waits.items():
-                    if may_leave():
-                        limit.reschedule(now_s())
+                for timeout, may_abandon in waits.items():
+                    if may_abandon():
+                        timeout.reschedule(now_s())
--- a/damaskcroft/entry/_refusals.py
+++ b/damaskcroft/entry/_refusals.py
@@ -1,4 +1,4 @@
-"""Typed refusals and errors, as callers see them."""
+"""Typed refusals and errors that are sent to callers."""
 
 import dataclasses
 import enum
@@ -10,7 +10,7 @@
 
 
 class Ran(enum.Enum):
-    """Whether the target may have carried the request out."""
+    """Whether the target has run the request."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -19,14 +19,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """A final answer that isn't the target's.
+    """A final answer that does not come from a target.
 
     Attributes:
-        reason: fixed word; also the counter's label.
+        reason: machine-readable reason; also the label of the counter.
         status: HTTP status.
-        ran: whether it ran; `NOT_RUN` is certain.
-        retry_after_s: when to come back; None when that makes no sense.
-        detail: what it is about, for a person.
+        ran: whether the request ran; `NOT_RUN` is certain.
+        retry_after_s: delay before a retry; None if a retry is pointless.
+        detail: human-readable detail.
     """
 
     reason: str
@@ -37,7 +37,7 @@
 
 
 def refusal_body(refusal: Refusal, request_id: str) -> dict:
-    """The JSON that describes a refusal."""
+    """Builds the JSON body of a refusal."""
     error = {
         "type": refusal.reason,
         "ran": refusal.ran.value,
@@ -50,7 +50,7 @@
     return {"error": error}
 
 
-def note_refusal(refusal: Refusal, request_id: str) -> None:
+def record_refusal(refusal: Refusal, request_id: str) -> None:
     """Counts and logs a refusal."""
     metrics.REFUSALS.labels(refusal.reason, refusal.ran.value).inc()
     log_event(
@@ -63,8 +63,8 @@
 
 
 def refusal_response(refusal: Refusal, request_id: str) -> Response:
-    """The HTTP answer for a refusal; it is counted and logged."""
-    note_refusal(refusal, request_id)
+    """Builds the HTTP response for a refusal; counts and logs it."""
+    record_refusal(refusal, request_id)
     headers = {"X-Request-Id": request_id}
     if refusal.retry_after_s is not None:
         # Whole seconds, RFC 9110 section 10.2.3; the body has milliseconds.
--- a/damaskcroft/entry/_suspects.py
+++ b/damaskcroft/entry/_suspects.py
@@ -1,4 +1,4 @@
-"""What an entry does about calls that may crash their targets."""
+"""Handling of suspect requests, that is, those whose targets crashed."""
 
 import contextlib
 import http
@@ -19,46 +19,46 @@
 
 
 class Suspects:
-    """Calls that targets crashed under, as control and this entry know them.
+    """Suspect requests known to control and to this entry.
 
     Args:
-        client: tells the leader what this entry finds out.
+        client: reports the findings of this entry to the leader.
     """
 
     def __init__(self, client: LeaseClient):
-        """See the class."""
+        """Takes the client; its roster holds the crash registry."""
         self.client = client
-        self.book = client.roster.crashes
-        self.copies = Copies(self.book)
+        self.crash_registry = client.roster.crashes
+        self.copies = Copies(self.crash_registry)
         self.recent_answers = RecentAnswers()
 
-    def watched(self, call: Call) -> "WatchedCall":
-        """A call whose attempts are about to begin."""
+    def watch(self, call: Call) -> "WatchedCall":
+        """Returns the state to keep for a call before its first attempt."""
         return WatchedCall(self, call)
 
 
 class WatchedCall:
-    """One call, and how many crashes in a row were known when it was sent.
+    """A call and the number of crashes in a row known when it was sent.
 
     Args:
-        suspects: what the entry knows.
+        suspects: suspect requests that the entry knows.
         call: the call.
     """
 
     __slots__ = ("_chain", "_fingerprint", "_status", "_suspects", "call")
 
     def __init__(self, suspects: Suspects, call: Call):
-        """See the class."""
+        """Starts with no crash and no answer recorded."""
         self._suspects = suspects
         self.call = call
         self._chain = 0
-        # Of the answer that has begun.
+        # Status of the answer that has begun.
         self._status = 0
         self._fingerprint: bytes | None = None
 
     @property
     def fingerprint(self) -> bytes:
-        """What the call has in common with its copies; hashes the body once."""
+        """Digest shared by all copies of the call; computed on first use."""
         if self._fingerprint is None:
             self._fingerprint = fingerprint(
                 self.call.customer,
@@ -69,50 +69,52 @@
             )
         return self._fingerprint
 
-    def refusal(self, ran: Ran) -> Refusal | None:
-        """How the call ends if it is quarantined; None if it isn't.
+    def quarantine_refusal(self, ran: Ran) -> Refusal | None:
+        """Returns the refusal if the call is quarantined, or None.
 
         Args:
-            ran: whether an attempt of it may have run.
+            ran: whether an attempt of the call may have run.
         """
-        if not self._suspects.book.has_suspects:
+        if not self._suspects.crash_registry.has_suspects:
             return None
-        left_s = self._suspects.book.quarantined_s(self.fingerprint)
-        if not left_s:
+        remaining_s = self._suspects.crash_registry.quarantined_s(
+            self.fingerprint
+        )
+        if not remaining_s:
             return None
         if ran is Ran.NOT_RUN:
-            return Refusal("quarantined", 503, ran, left_s)
+            return Refusal("quarantined", 503, ran, remaining_s)
         return Refusal("quarantined", 502, ran)
 
     def one_at_a_time(
         self, deadline_at: float
     ) -> contextlib.AbstractAsyncContextManager[None]:
-        """Waits while a copy of a suspect is under way here."""
-        if not self._suspects.book.has_suspects:
+        """Waits while this entry runs another copy of a suspect request."""
+        if not self._suspects.crash_registry.has_suspects:
             return contextlib.nullcontext()
         return self._suspects.copies.one_at_a_time(
             self.fingerprint, deadline_at
         )
 
-    def sending(self) -> None:
-        """Takes note of what is known when the call is sent."""
-        if self._suspects.book.has_suspects:
-            known = self._suspects.book.chain(self.fingerprint)
-            self._chain = max(self._chain, known)
+    def record_dispatch(self) -> None:
+        """Records the number of crashes known when the call is sent."""
+        if self._suspects.crash_registry.has_suspects:
+            known_chain = self._suspects.crash_registry.chain(self.fingerprint)
+            self._chain = max(self._chain, known_chain)
 
-    def note(self, event: agent_pb2.RunEvent) -> None:
-        """Takes what an agent tells of an attempt's end."""
+    def record_event(self, event: agent_pb2.RunEvent) -> None:
+        """Records how an attempt ends, from an event of the agent."""
         match event.WhichOneof("kind"):
             case "failed":
-                self._note_failed(event.failed)
+                self._record_crash(event.failed)
             case "head":
                 self._status = event.head.status
             case "whole":
-                self._note_answered(event.whole.head.status)
+                self._record_answer(event.whole.head.status)
             case "end":
-                self._note_answered(self._status)
+                self._record_answer(self._status)
 
-    def _note_failed(self, failed: agent_pb2.RunFailed) -> None:
+    def _record_crash(self, failed: agent_pb2.RunFailed) -> None:
         if failed.reason != agent_pb2.FAILED_TARGET_CRASHED:
             return
         self._chain += 1
@@ -127,22 +129,22 @@
             chain=self._chain,
             answered=self._suspects.recent_answers.has(self.fingerprint),
         )
-        self._suspects.book.take(
+        self._suspects.crash_registry.take(
             quarantine_pb2.TargetCrash(
                 start_id=failed.target_start, suspects=[suspect]
             )
         )
         self._suspects.client.report_soon()
 
-    def _note_answered(self, status: int) -> None:
+    def _record_answer(self, status: int) -> None:
         is_failure = status >= http.HTTPStatus.INTERNAL_SERVER_ERROR
         if is_failure:
             return
         if len(self.call.body) <= MOST_NOTED_BYTES:
             self._suspects.recent_answers.note(self.fingerprint)
-        if not self._suspects.book.has_suspects:
+        if not self._suspects.crash_registry.has_suspects:
             return
-        if not self._suspects.book.clear(self.fingerprint):
+        if not self._suspects.crash_registry.clear(self.fingerprint):
             return
         metrics.QUARANTINE.labels("cleared").inc()
         log_event(
--- a/damaskcroft/entry/main.py
+++ b/damaskcroft/entry/main.py
@@ -1,4 +1,4 @@
-"""damask-entry: takes callers' requests, behind the platform's balancer."""
+"""damask-entry: serves callers behind the load balancer of the platform."""
 
 import asyncio
 import json
@@ -13,9 +13,9 @@
 from starlette.routing import Route
 
 from damaskcroft._generated import control_pb2, settings_pb2
-from damaskcroft.entry._answers import Final, final_of
+from damaskcroft.entry._answers import FinalResponse, final_response
 from damaskcroft.entry._calls import Call, CallReader
-from damaskcroft.entry._claims import Claimant
+from damaskcroft.entry._claims import ClaimClient
 from damaskcroft.entry._dispatch import Dispatcher
 from damaskcroft.entry._refusals import (
     Ran,
@@ -38,27 +38,28 @@
 )
 from damaskcroft.tasks import background
 
-_STOP_RETRY_S = 1.0
-# Between saying "not ready" and the last accepted connection, so that the
-# balancer has seen it.
-_BALANCER_NOTICE_S = 0.5
-# What a caller is told whose request crossed the end of its idle connection;
-# it may send it again at once, on a new one.
+_STOPPING_RETRY_AFTER_S = 1.0
+# Connections are still accepted for this time after readiness is withdrawn,
+# so that the load balancer notices first.
+_READINESS_PROPAGATION_S = 0.5
+# Answer to a request that arrives while its idle connection is being closed;
+# the caller may retry at once on a new connection.
 _CONNECTION_CLOSING = Refusal("connection_closing", 408, Ran.NOT_RUN, 0.0)
-# Nobody reads this answer; the status only shows in counters and logs.
-_CALLER_LEFT = 499
+# The caller does not receive this status; it only appears in counters and
+# logs.
+_CALLER_LEFT_STATUS = 499
 _ALL_METHODS = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"]
 
 app = typer.Typer(pretty_exceptions_enable=False, add_completion=False)
 
 
 class EntryProcess:
-    """Everything one entry owns, wired together."""
+    """The parts of one entry process, wired together."""
 
     def __init__(self, settings: settings_pb2.EntrySettings, keys: Keys):
-        """Builds the parts; `serve` runs them."""
+        """Builds the parts without starting them; `serve` runs them."""
         self._settings = settings
-        process, rules = settings.process, settings.admission
+        process, admission_settings = settings.process, settings.admission
         self._channels = ChannelPool(keys)
         announcement = control_pb2.Announcement(
             id=process.name,
@@ -78,25 +79,27 @@
         self._pools = PoolTable(self._client.roster)
         self._admission = Admission(
             lambda name: self._pools.pool(name).slots,
-            rules.reserved_share,
-            rules.max_queued,
+            admission_settings.reserved_share,
+            admission_settings.max_queued,
         )
         self._dispatcher = Dispatcher(
             self._client,
             self._pools,
             self._admission,
-            Claimant(process.name, self._client, self._channels),
+            ClaimClient(process.name, self._client, self._channels),
             self._channels,
-            rules.retry_fraction,
+            admission_settings.retry_fraction,
         )
         self._reader = CallReader(
-            process.region, rules.default_deadline_s, rules.max_body_bytes
+            process.region,
+            admission_settings.default_deadline_s,
+            admission_settings.max_body_bytes,
         )
-        self._stopping = False
+        self._is_stopping = False
         self._running = RunningCalls()
 
     async def serve(self) -> None:
-        """Runs until SIGTERM or SIGINT, then ends gracefully.
+        """Runs until SIGTERM or SIGINT, then shuts down gracefully.
 
         Raises:
             OSError: the address can't be bound.
@@ -116,15 +119,15 @@
                 self._routes(),
                 closing_body=closing_body.encode(),
                 end_s=self._settings.stop.linger_s,
-            ) as face,
+            ) as server,
         ):
             log_event("started", id=self._settings.process.name)
             await stop.wait()
-            self._stopping = True
-            face.give_notice()
+            self._is_stopping = True
+            server.give_notice()
             log_event("stopping", running=self._running.count)
-            await asyncio.sleep(_BALANCER_NOTICE_S)
-            await self._running.finish()
+            await asyncio.sleep(_READINESS_PROPAGATION_S)
+            await self._running.drain()
         log_event(
             "stopped",
             idle_connections=metrics.idle_connections_closed("idle"),
@@ -155,43 +158,49 @@
 
     async def _answer(self, request: Request, call: Call | Refusal) -> Response:
         if isinstance(call, Refusal):
-            return self._tracked(final_of(refusal_response(call, "")))
-        if self._stopping:
-            refusal = Refusal("stopping", 503, Ran.NOT_RUN, _STOP_RETRY_S)
+            return self._tracked_response(
+                final_response(refusal_response(call, ""))
+            )
+        if self._is_stopping:
+            refusal = Refusal(
+                "stopping", 503, Ran.NOT_RUN, _STOPPING_RETRY_AFTER_S
+            )
             response = refusal_response(refusal, call.request_id)
-            return self._tracked(final_of(response))
+            return self._tracked_response(final_response(response))
         self._running.begin(call.deadline_s)
         try:
-            final = await self._answer_unless_left(request, call)
+            final = await self._answer_unless_disconnected(request, call)
         except BaseException:
             self._running.end()
             raise
-        return self._tracked(final, self._running.end)
+        return self._tracked_response(final, self._running.end)
 
-    async def _answer_unless_left(self, request: Request, call: Call) -> Final:
-        """Cancels a call whose caller has gone.
+    async def _answer_unless_disconnected(
+        self, request: Request, call: Call
+    ) -> FinalResponse:
+        """Runs a call and cancels it if its caller disconnects.
 
-        The agent then cancels a repeatable run at the target; a claimed run
-        goes on there, and its answer is kept for the caller's next attempt.
+        The agent then cancels a repeatable run at the target. A claimed run
+        continues, and its answer is stored for a retry of the caller.
         """
-        answered = await unless_caller_leaves(
+        outcome = await unless_caller_leaves(
             request, self._dispatcher.answer(call)
         )
-        if not isinstance(answered, CallerLeft):
-            return answered
-        left = Refusal("caller_left", _CALLER_LEFT, Ran.UNKNOWN)
-        return final_of(refusal_response(left, call.request_id))
+        if not isinstance(outcome, CallerLeft):
+            return outcome
+        disconnected = Refusal("caller_left", _CALLER_LEFT_STATUS, Ran.UNKNOWN)
+        return final_response(refusal_response(disconnected, call.request_id))
 
-    def _tracked(
-        self, final: Final, ended: Callable[[], None] = lambda: None
+    def _tracked_response(
+        self, final: FinalResponse, on_end: Callable[[], None] = lambda: None
     ) -> Response:
-        return _Tracked(final, ended)
+        return _TrackedResponse(final, on_end)
 
     async def _healthy(self, _: Request) -> Response:
         return JSONResponse({"healthy": True})
 
     async def _ready(self, _: Request) -> Response:
-        ready = self._client.roster.has_view and not self._stopping
+        ready = self._client.roster.has_view and not self._is_stopping
         body = {
             "ready": ready,
             "revision": self._client.roster.revision,
@@ -200,20 +209,20 @@
         return JSONResponse(body, 200 if ready else 503)
 
 
-class _Tracked(Response):
-    """Cleans up when the last byte is out, or will never be."""
+class _TrackedResponse(Response):
+    """Cleans up once the response has been sent or has failed."""
 
-    def __init__(self, final: Final, ended: Callable[[], None]):
+    def __init__(self, final: FinalResponse, on_end: Callable[[], None]):
         super().__init__()
         self._final = final
-        self._ended = ended
+        self._on_end = on_end
 
     async def __call__(self, scope, receive, send) -> None:
         try:
             await self._final.response(scope, receive, send)
         finally:
             await self._final.close()
-            self._ended()
+            self._on_end()
 
 
 @app.command()
--- a/damaskcroft/entry/tests/conftest.py
+++ b/damaskcroft/entry/tests/conftest.py
@@ -1,13 +1,13 @@
-"""A world of entries, agents and control in virtual time."""
+"""A cluster of entries, agents and control in virtual time."""
 
 import pytest
 
-from damaskcroft.entry.tests.fakes import World
+from damaskcroft.entry.tests.fakes import Cluster
 
 
 @pytest.fixture
-def world(loop):
-    world = World(seed=1)
-    loop.run(world.start())
-    yield world
-    loop.run(world.stop())
+def cluster(loop):
+    cluster = Cluster(seed=1)
+    loop.run(cluster.start())
+    yield cluster
+    loop.run(cluster.stop())
--- a/damaskcroft/entry/tests/fakes.py
+++ b/damaskcroft/entry/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Entries, agents and control in one process, joined in memory."""
+"""Entries, agents and control in one process, connected in memory."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
     PlainService,
 )
 from damaskcroft.entry._calls import Call
-from damaskcroft.entry._claims import Claimant
+from damaskcroft.entry._claims import ClaimClient
 from damaskcroft.entry._dispatch import Dispatcher
 from damaskcroft.limits import Unnamed
 from damaskcroft.membership import Lease, Roster
@@ -36,31 +36,31 @@
 AGENTS = ("agent-0", "agent-1", "agent-2")
 
 
-class DeadChannel(Channel):
-    """A channel to a process that is gone."""
+class RefusingChannel(Channel):
+    """A channel to a process that has ended."""
 
     async def __connect__(self):
-        raise ConnectionRefusedError("nobody listens")
+        raise ConnectionRefusedError("connection refused")
 
 
-class FakePool:
-    """Channels by address to whatever serves there now."""
+class FakeChannelPool:
+    """Channels by address to the services that now run there."""
 
     def __init__(self):
         self.channels_by_address = {}
 
     def channel(self, address):
         channel = self.channels_by_address.get(address)
-        return channel or DeadChannel("127.0.0.1", 1)
+        return channel or RefusingChannel("127.0.0.1", 1)
 
 
 class FakeEngine(PlainService):
-    """A target whose journal is the oracle."""
+    """A target that records each run in a journal shared by all targets."""
 
     def __init__(self, name, journal):
         self.name = name
         self.journal = journal
-        self.mode = "well"
+        self.mode = "healthy"
         self.work_s = 0.05
         self.content_type = "text/plain"
         self.limit = Unnamed()
@@ -110,7 +110,7 @@
 
 
 class FakeAgent:
-    """The real gate, runner and service of one agent process."""
+    """One agent process, with the real gate, runner and service."""
 
     def __init__(self, name, incarnation, engine, pool):
         self.name = name
@@ -141,12 +141,12 @@
 
 
 class FakeControl(control_grpc.ControlBase):
-    """The real replicated state behind a log that can fail."""
+    """The real replicated state, with injectable failures of the log."""
 
     def __init__(self):
         self.state = ControlState(10**9, 10**6)
         self.index = 0
-        self.mode = "well"
+        self.mode = "healthy"
         self.settled = asyncio.Condition()
 
     def apply(self, command):
@@ -188,23 +188,23 @@
 
 
 class FakeClient:
-    """What a dispatcher sees of its lease client."""
+    """The part of the lease client that a dispatcher uses."""
 
     def __init__(self):
         self.roster = Roster()
         self.leader_address = CONTROL
         self.lease = Lease()
-        self.heard = []
+        self.peers = []
 
     def report_soon(self):
-        """What the leader hears reaches every other entry."""
-        for other in self.heard:
+        """Copies the crashes known here to every other entry."""
+        for other in self.peers:
             for crash in self.roster.crashes.words():
                 other.roster.crashes.take(crash)
 
 
-class FreezableClaimant(Claimant):
-    """Stops, like a frozen process, between the claim and what follows."""
+class FreezableClaimClient(ClaimClient):
+    """Can stop between the claim and the run, as a frozen process does."""
 
     def __init__(self, name, client, pool, thawed):
         super().__init__(name, client, pool)
@@ -217,7 +217,7 @@
 
 
 class Entry:
-    """One entry's real dispatcher, and the calls it is carrying out."""
+    """The real dispatcher of one entry, with its calls in progress."""
 
     def __init__(self, name, pool):
         self.client = FakeClient()
@@ -231,69 +231,69 @@
             self.client,
             self.pools,
             self.admission,
-            FreezableClaimant(name, self.client, pool, self.thawed),
+            FreezableClaimClient(name, self.client, pool, self.thawed),
             pool,
             retry_fraction=0.2,
         )
         self.tasks = set()
-        self.watching = asyncio.ensure_future(self.dispatcher.run())
+        self.lapse_task = asyncio.ensure_future(self.dispatcher.run())
 
     def kill(self):
-        """Ends its calls; the next process under its name takes over."""
+        """Cancels all calls; the next process with this name takes over."""
         for task in self.tasks:
             task.cancel()
         self.tasks.clear()
 
 
-class World:
-    """Everything, with the journal and every caller's final answer."""
+class Cluster:
+    """A whole system, its run journal and the responses to all callers."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
-        self.pool = FakePool()
+        self.pool = FakeChannelPool()
         self.journal = []
         self.engines = {}
         self.agents = {}
         self.control = FakeControl()
         self.serial = 0
-        self.finals = []
-        self.doors_by_address = {}
+        self.final_responses = []
+        self.servers_by_address = {}
 
     async def start(self):
-        await self.open_door(CONTROL, self.control)
+        await self.start_server(CONTROL, self.control)
         for name in AGENTS:
             self.engines[name] = FakeEngine(name, self.journal)
             await self.start_agent(name)
         self.entries = [Entry(f"entry-{n}", self.pool) for n in range(2)]
         clients = [entry.client for entry in self.entries]
         for client in clients:
-            client.heard = [other for other in clients if other != client]
-        await self.tell()
+            client.peers = [other for other in clients if other != client]
+        await self.publish_roster()
 
-    async def open_door(self, address, service):
-        door = ChannelFor([service])
-        self.pool.channels_by_address[address] = await door.__aenter__()
-        self.doors_by_address[address] = door
+    async def start_server(self, address, service):
+        server = ChannelFor([service])
+        self.pool.channels_by_address[address] = await server.__aenter__()
+        self.servers_by_address[address] = server
 
-    async def close_door(self, address):
+    async def stop_server(self, address):
         self.pool.channels_by_address.pop(address)
-        await self.doors_by_address.pop(address).__aexit__(None, None, None)
+        await self.servers_by_address.pop(address).__aexit__(None, None, None)
 
     async def start_agent(self, name):
         self.serial += 1
         incarnation = f"{name}#{self.serial}"
         agent = FakeAgent(name, incarnation, self.engines[name], self.pool)
         self.agents[name] = agent
-        await self.open_door(name, agent.service)
+        await self.start_server(name, agent.service)
 
     async def kill_agent(self, name):
         agent = self.agents.pop(name, None)
         if agent is not None:
-            await self.close_door(name)
+            await self.stop_server(name)
             await agent.die()
 
-    async def tell(self, lapsed=()):
-        """Gives all entries the present roster, as control would."""
+    async def publish_roster(self, lapsed=()):
+        """Gives all entries the current roster, as control does."""
         for entry in self.entries:
             roster = entry.client.roster
             roster.revision += 1
@@ -315,8 +315,10 @@
             entry.pools.rebuild()
             await roster.notify()
 
-    def ask(self, place, key, body_key=None, deadline_s=DEADLINE_S, pool=POOL):
-        """Starts one call at an entry; its final answer goes to finals."""
+    def send(
+        self, entry_index, key, body_key=None, deadline_s=DEADLINE_S, pool=POOL
+    ):
+        """Starts a call at an entry; records its response when it ends."""
         self.serial += 1
         call = Call(
             request_id=f"r{self.serial}",
@@ -332,30 +334,30 @@
             key=key,
             prefix=b"",
         )
-        entry = self.entries[place]
-        task = asyncio.ensure_future(self.carry(entry, call))
+        entry = self.entries[entry_index]
+        task = asyncio.ensure_future(self.dispatch(entry, call))
         entry.tasks.add(task)
         task.add_done_callback(entry.tasks.discard)
         return task
 
-    async def carry(self, entry, call):
+    async def dispatch(self, entry, call):
         final = await entry.dispatcher.answer(call)
         response = final.response
         runs = [r for r, k in self.journal if r == call.request_id]
-        self.finals.append((call, response, len(runs)))
+        self.final_responses.append((call, response, len(runs)))
         return response
 
     async def stop(self):
         for entry in self.entries:
             entry.kill()
-            entry.watching.cancel()
+            entry.lapse_task.cancel()
         for name in list(self.agents):
             await self.kill_agent(name)
-        await self.close_door(CONTROL)
+        await self.stop_server(CONTROL)
 
 
-def ran_word(response):
-    """What a refusal says of whether it ran, or None for an answer."""
+def ran_status(response):
+    """The `ran` field of a refusal, or None for an answer."""
     if response.status_code == 200:
         return None
     return json.loads(response.body)["error"]["ran"]
--- a/damaskcroft/entry/tests/features/refused_as_not_run.feature
+++ b/damaskcroft/entry/tests/features/refused_as_not_run.feature
@@ -1,34 +1,34 @@
-Feature: What is refused as not run truly did not run
-  The caller comes back when told to, and nothing happens twice.
+Feature: A request that is refused as not run has not run
+  The caller can retry after the announced delay, and nothing runs twice.
 
-  Scenario: Control has lost its majority
+  Scenario: Control has no majority
     Given control has no majority
     When the caller sends a voucher request
-    Then the caller is told that it was not run, and when to come back
+    Then the caller receives a refusal as not run with Retry-After
     And the voucher was issued 0 times
 
   Scenario: No target can be reached
     Given every target refuses connections
     When the caller sends a voucher request
-    Then the caller is told that it was not run, and when to come back
+    Then the caller receives a refusal as not run with Retry-After
     And the voucher was issued 0 times
 
-  Scenario: Every agent is leaving
+  Scenario: Every agent is draining
     Given every agent is draining
     When the caller sends a voucher request
-    Then the caller is told that it was not run, and when to come back
+    Then the caller receives a refusal as not run with Retry-After
     And the voucher was issued 0 times
 
-  Scenario: The agents were cut off from control for longer than their lease
-    Given every agent's lease has lapsed
+  Scenario: The agents are cut off from control until their leases expire
+    Given every agent's lease has expired
     When the caller sends a voucher request
-    Then the caller is told that it was not run, and when to come back
+    Then the caller receives a refusal as not run with Retry-After
     And the voucher was issued 0 times
 
-  Scenario: A refused request may be sent again
+  Scenario: A refused request is retried
     Given control has no majority
     When the caller sends a voucher request
-    And control is well again
-    And the caller resends to the second entry
-    Then the caller has the whole answer
+    And control has a majority again
+    And the caller retries at the second entry
+    Then the caller receives the complete answer
     And the voucher was issued 1 time
--- a/damaskcroft/entry/tests/features/whole_answers.feature
+++ b/damaskcroft/entry/tests/features/whole_answers.feature
@@ -1,13 +1,13 @@
-Feature: Every caller receives the whole answer to its own request
-  Nothing of an answer that was cut off is passed on as if it were whole.
+Feature: Every caller receives the complete answer to its own request
+  A truncated answer is never passed on as a complete one.
 
-  Scenario: The target breaks off in the middle of an answer
-    Given every target breaks off in the middle of its answers
+  Scenario: The target breaks the connection during an answer
+    Given every target breaks the connection during its answers
     When the caller sends a voucher request
-    Then the caller is told that the outcome is unknown
+    Then the caller receives an error with an unknown outcome
     And the voucher was issued 1 time
 
-  Scenario: Two callers ask at the same moment
-    Given a voucher request at the first entry that is being run
-    When another caller's request runs beside it
-    Then each caller has its own whole answer
+  Scenario: Two callers send requests at the same time
+    Given a voucher request that the first entry has sent to a target
+    When another caller's request runs at the same time
+    Then each caller receives the complete answer to its own request
--- a/damaskcroft/entry/tests/test_crashing_calls.py
+++ b/damaskcroft/entry/tests/test_crashing_calls.py
@@ -1,121 +1,125 @@
-"""Calls that are lost with their targets, and those that crash them."""
+"""Calls that are lost with their targets, and calls that crash targets."""
 
 import asyncio
 
-from damaskcroft.entry.tests.fakes import ran_word
+from damaskcroft.entry.tests.fakes import ran_status
 
 
-def test_a_call_that_every_target_lost_is_not_told_as_not_run(loop, world):
-    for engine in world.engines.values():
+def test_call_lost_by_every_target_is_not_refused_as_not_run(loop, cluster):
+    for engine in cluster.engines.values():
         engine.mode = "breaks"
 
     async def scenario():
-        return await world.ask(0, "", body_key="b")
+        return await cluster.send(0, "", body_key="b")
 
     response = loop.run(scenario())
-    assert len(world.journal) == len(world.engines)
+    assert len(cluster.journal) == len(cluster.engines)
     assert response.status_code == 502
-    assert ran_word(response) == "unknown"
+    assert ran_status(response) == "unknown"
 
 
-def test_a_call_that_crashes_three_targets_is_refused_by_every_entry(
-    loop, world
+def test_call_that_crashes_three_targets_is_refused_by_every_entry(
+    loop, cluster
 ):
-    for engine in world.engines.values():
+    for engine in cluster.engines.values():
         engine.mode = "crashes"
 
     async def scenario():
-        first = await world.ask(0, "", body_key="b")
-        # Its own attempts ran; no invitation to come back.
-        assert (first.status_code, ran_word(first)) == (502, "unknown")
+        first = await cluster.send(0, "", body_key="b")
+        # Attempts of this call ran, so that it must not be retried.
+        assert (first.status_code, ran_status(first)) == (502, "unknown")
         assert "Retry-After" not in first.headers
-        assert len(world.journal) == 3
-        for engine in world.engines.values():
-            engine.mode = "well"
-        for place in (0, 1):
-            again = await world.ask(place, "", body_key="b")
-            assert (again.status_code, ran_word(again)) == (503, "not_run")
+        assert len(cluster.journal) == 3
+        for engine in cluster.engines.values():
+            engine.mode = "healthy"
+        for entry_index in (0, 1):
+            again = await cluster.send(entry_index, "", body_key="b")
+            assert (again.status_code, ran_status(again)) == (503, "not_run")
             assert int(again.headers["Retry-After"]) > 60
-            keyed = await world.ask(place, f"k{place}", body_key="b")
-            assert ran_word(keyed) == "not_run"
-        assert len(world.journal) == 3
-        other = await world.ask(1, "", body_key="c")
+            keyed = await cluster.send(
+                entry_index, f"k{entry_index}", body_key="b"
+            )
+            assert ran_status(keyed) == "not_run"
+        assert len(cluster.journal) == 3
+        other = await cluster.send(1, "", body_key="c")
         assert other.status_code == 200
 
     loop.run(scenario())
 
 
-def test_a_call_answered_just_before_is_not_refused_after_three_crashes(
-    loop, world
+def test_recently_answered_call_is_not_quarantined_after_three_crashes(
+    loop, cluster
 ):
     async def scenario():
-        for mode, status in (("well", 200), ("crashes", 502), ("well", 200)):
-            for engine in world.engines.values():
+        for mode, status in (
+            ("healthy", 200),
+            ("crashes", 502),
+            ("healthy", 200),
+        ):
+            for engine in cluster.engines.values():
                 engine.mode = mode
-            answer = await world.ask(0, "", body_key="b")
+            answer = await cluster.send(0, "", body_key="b")
             assert answer.status_code == status
 
     loop.run(scenario())
 
 
-def test_a_call_that_is_served_after_a_crash_is_cleared(loop, world):
+def test_successful_answer_clears_a_suspect_call(loop, cluster):
     async def scenario():
-        first, *others = world.engines.values()
+        first, *others = cluster.engines.values()
         first.mode = "crashes"
         for engine in others:
-            engine.mode = "well"
+            engine.mode = "healthy"
         for _ in range(8):
-            answer = await world.ask(0, "", body_key="b")
+            answer = await cluster.send(0, "", body_key="b")
             assert answer.status_code == 200
-        for entry in world.entries:
+        for entry in cluster.entries:
             assert not entry.client.roster.crashes.has_suspects
 
     loop.run(scenario())
 
 
-def test_a_failure_that_is_answered_clears_no_call(loop, world):
+def test_error_status_does_not_clear_a_suspect_call(loop, cluster):
     async def scenario():
-        first, *others = world.engines.values()
+        first, *others = cluster.engines.values()
         first.mode = "crashes"
         for engine in others:
             engine.mode = "fails"
         async with asyncio.timeout(600):
-            while not world.entries[0].client.roster.crashes.has_suspects:
-                await world.ask(0, "", body_key="b")
+            while not cluster.entries[0].client.roster.crashes.has_suspects:
+                await cluster.send(0, "", body_key="b")
         for _ in range(8):
-            await world.ask(0, "", body_key="b")
-        assert world.entries[0].client.roster.crashes.has_suspects
+            await cluster.send(0, "", body_key="b")
+        assert cluster.entries[0].client.roster.crashes.has_suspects
 
     loop.run(scenario())
 
 
-def test_connections_that_break_at_living_targets_are_no_crash(loop, world):
-    for engine in world.engines.values():
+def test_broken_connection_to_a_live_target_is_not_a_crash(loop, cluster):
+    for engine in cluster.engines.values():
         engine.mode = "breaks"
 
     async def scenario():
-        await world.ask(0, "", body_key="b")
-        assert not world.entries[0].client.roster.crashes.has_suspects
+        await cluster.send(0, "", body_key="b")
+        assert not cluster.entries[0].client.roster.crashes.has_suspects
 
     loop.run(scenario())
 
 
-def test_each_crash_of_one_target_counts_though_it_answered_nothing(
-    loop, world
-):
-    """A target that is back runs the same call first, and crashes again."""
+def test_repeated_crashes_of_one_target_are_all_counted(loop, cluster):
+    """A restarted target runs the same call first, and crashes again."""
 
     async def scenario():
-        for name in list(world.agents)[1:]:
-            await world.kill_agent(name)
-        await world.tell()
-        (name,) = world.agents
-        engine = world.engines[name]
+        for name in list(cluster.agents)[1:]:
+            await cluster.kill_agent(name)
+        await cluster.publish_roster()
+        (name,) = cluster.agents
+        engine = cluster.engines[name]
         for _ in range(3):
             engine.mode = "crashes"
-            await world.ask(0, "", body_key="b")
-        answer = await world.ask(0, "", body_key="b")
-        assert ran_word(answer) == "not_run"
-        assert len(world.journal) == 3
+            await cluster.send(0, "", body_key="b")
+        answer = await cluster.send(0, "", body_key="b")
+        assert ran_status(answer) == "not_run"
+        assert len(cluster.journal) == 3
 
     loop.run(scenario())
--- a/damaskcroft/entry/tests/test_first_view.py
+++ b/damaskcroft/entry/tests/test_first_view.py
@@ -1,11 +1,10 @@
-"""What an entry says of a name before it has heard of all names.
+"""Refusals for unknown pools, before and after the first roster.
 
-What happened: an entry that had been started again answered
+A restarted entry that had no roster yet refused a call with
 `refused reason=unknown_model ran=not_run`, status 404, 67 ms after `started`.
-It had no roster yet. A caller takes a 404 as final and gives up on a model
-that is served all the while. The same word came for a plain service whose
-only target was leaving, and for a model that was on record and not yet on any
-target.
+Callers take a 404 as final and give up on a model that is being served. The
+same reason was given for a plain service whose only target was draining, and
+for a model that was on record but not yet on any target.
 """
 
 import json
@@ -18,33 +17,33 @@
 
 
 @pytest.fixture
-def ask(loop, world):
-    """Asks an entry for a pool; gives status, error and Retry-After."""
+def send(loop, cluster):
+    """Sends a call for a pool; returns status, error and Retry-After."""
 
-    def ask(entry, pool=POOL):
-        world.entries.append(entry)
-        task = world.ask(len(world.entries) - 1, "key", pool=pool)
+    def send(entry, pool=POOL):
+        cluster.entries.append(entry)
+        task = cluster.send(len(cluster.entries) - 1, "key", pool=pool)
         response = loop.run(task)
         error = json.loads(response.body)["error"]
         return response.status_code, error, response.headers.get("Retry-After")
 
-    return ask
+    return send
 
 
 @pytest.fixture
-def entry(loop, world):
-    """An entry that has just been started."""
+def entry(loop, cluster):
+    """An entry that has no roster yet."""
 
     async def start():
-        return Entry("late", world.pool)
+        return Entry("late", cluster.pool)
 
     entry = loop.run(start())
     yield entry
-    entry.watching.cancel()
+    entry.lapse_task.cancel()
 
 
-def view(entry, revision=1, **parts):
-    """Gives an entry a whole view, as control would."""
+def apply_snapshot(entry, revision=1, **parts):
+    """Gives an entry a roster snapshot, as control does."""
     entry.client.roster.apply(
         control_pb2.RosterDelta(
             snapshot=True, from_revision=0, to_revision=revision, **parts
@@ -53,8 +52,8 @@
     entry.pools.rebuild()
 
 
-def test_an_entry_without_a_view_says_when_to_come_back(ask, entry):
-    status, error, retry_after = ask(entry)
+def test_entry_without_a_roster_refuses_with_retry_after(send, entry):
+    status, error, retry_after = send(entry)
     assert status == 503
     assert error["type"] == "not_ready"
     assert error["ran"] == "not_run"
@@ -62,14 +61,16 @@
     assert retry_after
 
 
-def test_a_name_that_nothing_speaks_of_is_unknown(ask, entry):
-    view(entry)
-    status, error, _ = ask(entry, "nobody")
+def test_unknown_pool_is_refused_with_404(send, entry):
+    apply_snapshot(entry)
+    status, error, _ = send(entry, "nobody")
     assert (status, error["type"]) == (404, "unknown_model")
 
 
 @pytest.mark.parametrize("lapsed", [[], ["agent-0"]], ids=["leaves", "lapsed"])
-def test_a_service_without_a_target_now_is_still_known(ask, entry, lapsed):
+def test_service_without_an_available_target_is_still_known(
+    send, entry, lapsed
+):
     agent = control_pb2.Announcement(
         id="agent-0",
         kind=control_pb2.HOLDER_AGENT,
@@ -80,19 +81,19 @@
     report = control_pb2.TargetReport(
         id="agent-0", incarnation="one", draining=True
     )
-    view(entry, holders=[agent], reports=[report], lapsed=lapsed)
-    status, error, retry_after = ask(entry)
+    apply_snapshot(entry, holders=[agent], reports=[report], lapsed=lapsed)
+    status, error, retry_after = send(entry)
     assert (status, error["type"]) == (503, "no_target")
     assert error["ran"] == "not_run"
     assert retry_after
 
 
-def test_a_model_on_record_is_known_before_any_target_has_it(ask, entry):
-    view(entry, records=[deployment_record()])
-    status, error, _ = ask(entry, "draft")
+def test_model_on_record_is_known_before_any_target_serves_it(send, entry):
+    apply_snapshot(entry, records=[deployment_record()])
+    status, error, _ = send(entry, "draft")
     assert (status, error["type"]) == (503, "no_target")
 
 
-def test_a_model_whose_record_is_withdrawn_is_unknown(ask, entry):
-    view(entry, records=[deployment_record(withdrawn=True)])
-    assert ask(entry, "draft")[0] == 404
+def test_model_with_a_withdrawn_record_is_unknown(send, entry):
+    apply_snapshot(entry, records=[deployment_record(withdrawn=True)])
+    assert send(entry, "draft")[0] == 404
