--- a/damaskcroft/engines/__init__.py
+++ b/damaskcroft/engines/__init__.py
@@ -1,4 +1,4 @@
-"""Orders and calls to a target: model engines of two kinds, plain services."""
+"""Interfaces and HTTP clients of targets: model engines and plain services."""
 
 from damaskcroft._later import imported_later
 from damaskcroft.engines._base import (
--- a/damaskcroft/engines/_base.py
+++ b/damaskcroft/engines/_base.py
@@ -1,4 +1,4 @@
-"""What an agent may ask of its target."""
+"""Interface between an agent and its target: orders, state and calls."""
 
 import abc
 import contextlib
@@ -11,11 +11,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadOrder:
-    """An order to load one version.
+    """An order to load one version of a model.
 
     Attributes:
-        assignment: what to load; its fencing number goes with the order.
-        folder: where the verified files lie on this instance.
+        assignment: the version to load, and the fencing number of the order.
+        folder: directory of the verified files on this instance.
     """
 
     assignment: control_pb2.Assignment
@@ -24,19 +24,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderAccepted:
-    """The target has taken the order; its state tells how it ends."""
+    """The target has accepted the order; its state shows the result."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderRefused:
-    """The target has seen a newer fencing number, or can't obey."""
+    """The target has seen a newer fencing number or can't run the order."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderFailed:
-    """No answer, or not sent since the lease would end too soon."""
+    """No answer came, or the lease ends too soon for the order to be sent."""
 
     reason: str
 
@@ -46,12 +46,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineState:
-    """What a target says of itself.
+    """The state that a target reports.
 
     Attributes:
-        active: manifest now served, or empty.
-        loaded: manifests in memory, the active one included.
-        failed: reasons by manifest that would not load.
+        active: manifest being served, or empty.
+        loaded: manifests in memory, including the active one.
+        failed: reasons of failed loads, by manifest.
     """
 
     active: str
@@ -66,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetCall:
-    """A caller's request as it goes to the target."""
+    """A caller's request as it is sent to the target."""
 
     request_id: str
     method: str
@@ -83,11 +83,13 @@
 
     Attributes:
         status: HTTP status.
-        content_type: of the body.
-        body: the body's pieces as they come; ends only when it is whole.
-            Raises ConnectionError if the connection breaks before.
-        request_id: which request the target says that it answers.
-        limit: how many requests a second it takes from all senders.
+        content_type: content type of the body.
+        body: chunks of the body as they arrive; ends only if the body is
+            complete, and raises ConnectionError if the connection breaks
+            before.
+        request_id: id of the request that the target states it answers.
+        limit: rate limit of the target, in requests a second from all
+            senders together.
     """
 
     status: int
@@ -99,50 +101,54 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallNotSent:
-    """Certain: no byte of the request reached the target."""
+    """It is certain that no byte of the request reached the target."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallFailed:
-    """The connection broke after the request may have been read."""
+    """The connection broke, and the target may have read the request."""
 
 
 CallOutcome = CallStarted | CallNotSent | CallFailed
 
 
 class Engine(abc.ABC):
-    """A target: takes orders from its agent alone, and answers calls."""
+    """A target that runs calls, and accepts orders from its agent only."""
 
     @abc.abstractmethod
     async def state(self) -> EngineState | EngineUnreachable:
-        """Reads the target's state back."""
+        """Fetches the state of the target."""
 
     @abc.abstractmethod
     async def load(self, order: LoadOrder) -> OrderOutcome:
-        """Orders a version to be loaded beside what is active."""
+        """Orders a version to be loaded in addition to the active one."""
 
     @abc.abstractmethod
     async def activate(self, order: LoadOrder) -> OrderOutcome:
-        """Orders a loaded version to be served, and others to be dropped."""
+        """Orders a loaded version to be served and all others unloaded."""
 
     @abc.abstractmethod
     async def unload(self, assignment: control_pb2.Assignment) -> OrderOutcome:
-        """Orders that nothing be served."""
+        """Orders the target to serve no version."""
 
     @abc.abstractmethod
     async def is_gone(self) -> bool:
-        """Whether its process has ended; asked when a connection has."""
+        """Whether the target's process has ended.
+
+        Meant to be called after a connection to the target has ended.
+        """
 
     @abc.abstractmethod
     def call(
         self, call: TargetCall, *, fresh_connection: bool
     ) -> contextlib.AbstractAsyncContextManager[CallOutcome]:
-        """Sends a caller's request; leaving the block cancels the rest.
+        """Sends a caller's request; leaving the block cancels the answer.
 
         Args:
             call: the request.
-            fresh_connection: use no kept connection, whose silent closing
-                could not be told from a run that was cut off.
+            fresh_connection: open a new connection, because a silently
+                closed one that is reused can't be distinguished from a run
+                that was interrupted.
         """
 
     @abc.abstractmethod
--- a/damaskcroft/engines/_http.py
+++ b/damaskcroft/engines/_http.py
@@ -1,4 +1,4 @@
-"""Targets that speak HTTP (RFC 9110, 9112)."""
+"""Clients of targets over HTTP (RFC 9110, RFC 9112)."""
 
 import asyncio
 import contextlib
@@ -30,26 +30,27 @@
 from damaskcroft.quarantine import is_gone
 from damaskcroft.rpc import HTTP_ERRORS, make_http_client
 
-_CONFLICT = 409
-# Requests a second that the target takes from all senders together.
-_LIMIT_HEADER = "X-Rate-Limit"
+_STATUS_CONFLICT = 409
+# Rate limit: requests a second that the target accepts from all senders
+# together.
+_RATE_LIMIT_HEADER = "X-Rate-Limit"
 _CONNECT_TIMEOUT_S = 2.0
 _STATE_TIMEOUT_S = 5.0
-_CONNECTIONS = 256
+_MAX_CONNECTIONS = 256
 
 
-class _HttpTarget(Engine):
-    """Calls to a target over HTTP; orders are left to subclasses."""
+class _HttpEngine(Engine):
+    """Sends calls to a target over HTTP; subclasses implement orders."""
 
     def __init__(self, address: str):
-        """Names the target's IP number and port."""
+        """Takes the IP address and port of the target; does not connect."""
         self._address = address
         self._base_url = f"http://{address}"
         self._client = make_http_client(
-            connections=_CONNECTIONS, connect_timeout_s=_CONNECT_TIMEOUT_S
+            connections=_MAX_CONNECTIONS, connect_timeout_s=_CONNECT_TIMEOUT_S
         )
         self._fresh_client = make_http_client(
-            connections=_CONNECTIONS,
+            connections=_MAX_CONNECTIONS,
             connect_timeout_s=_CONNECT_TIMEOUT_S,
             max_requests=1,
         )
@@ -58,7 +59,7 @@
     async def call(
         self, call: TargetCall, *, fresh_connection: bool
     ) -> AsyncIterator[CallOutcome]:
-        """See Engine."""
+        """Sends a request over HTTP and yields its outcome."""
         client = self._fresh_client if fresh_connection else self._client
         try:
             response = await client.request(
@@ -78,40 +79,40 @@
             yield CallStarted(
                 response.status_code,
                 response.headers.get("Content-Type", ""),
-                _pieces(response),
+                _body_chunks(response),
                 response.headers.get("X-Request-Id", ""),
-                _limit(response),
+                _rate_limit(response),
             )
         finally:
             await response.aclose()
 
     async def is_gone(self) -> bool:
-        """See Engine."""
+        """Whether connections to the target's address are refused."""
         return await is_gone(self._address)
 
     async def close(self) -> None:
-        """See Engine."""
+        """Closes the pools of reused and of single-use connections."""
         await self._client.aclose()
         await self._fresh_client.aclose()
 
 
-class FencingEngine(_HttpTarget):
+class FencingEngine(_HttpEngine):
     """A model engine that refuses orders with an old fencing number.
 
     Args:
-        address: IP number and port.
-        lease: the agent's lease, checked before each order.
-        order_timeout_s: longest wait for an order's answer.
+        address: IP address and port.
+        lease: lease of the agent, checked before each order.
+        order_timeout_s: maximum wait for the answer to an order.
     """
 
     def __init__(self, address: str, lease: Lease, order_timeout_s: float):
-        """See the class."""
+        """Takes the address, the lease and the timeout of orders."""
         super().__init__(address)
         self._lease = lease
         self._order_timeout_s = order_timeout_s
 
     async def state(self) -> EngineState | EngineUnreachable:
-        """See Engine."""
+        """Fetches the state; unreachable after `_STATE_TIMEOUT_S`."""
         try:
             async with asyncio.timeout(_STATE_TIMEOUT_S):
                 response = await self._client.get(
@@ -127,9 +128,9 @@
         )
 
     async def load(self, order: LoadOrder) -> OrderOutcome:
-        """See Engine."""
+        """Posts a load order with its fencing number."""
         assignment = order.assignment
-        return await self._order(
+        return await self._post_order(
             "load",
             {
                 "model": assignment.model,
@@ -142,32 +143,34 @@
         )
 
     async def activate(self, order: LoadOrder) -> OrderOutcome:
-        """See Engine."""
+        """Posts an activation order with its fencing number."""
         assignment = order.assignment
-        return await self._order(
+        return await self._post_order(
             "activate",
             {"manifest": assignment.manifest, "fencing": assignment.fencing},
         )
 
     async def unload(self, assignment: control_pb2.Assignment) -> OrderOutcome:
-        """See Engine."""
-        return await self._order(
+        """Posts an activation order with an empty manifest."""
+        return await self._post_order(
             "activate", {"manifest": "", "fencing": assignment.fencing}
         )
 
-    def _may_order(self) -> bool:
-        # The target itself refuses whatever comes too late.
+    def _lease_allows_order(self) -> bool:
+        # The target itself refuses orders that arrive too late.
         return self._lease.is_held
 
-    def _timeout_s(self) -> float:
+    def _current_timeout_s(self) -> float:
         return self._order_timeout_s
 
-    async def _order(self, name: str, body: dict[str, Any]) -> OrderOutcome:
-        if not self._may_order():
+    async def _post_order(
+        self, name: str, body: dict[str, Any]
+    ) -> OrderOutcome:
+        if not self._lease_allows_order():
             metrics.ORDERS.labels(name, "no_lease").inc()
             return OrderFailed("the lease ends too soon")
         try:
-            async with asyncio.timeout(self._timeout_s()):
+            async with asyncio.timeout(self._current_timeout_s()):
                 response = await self._client.post(
                     f"{self._base_url}/engine/{name}", json=body
                 )
@@ -175,7 +178,7 @@
         except HTTP_ERRORS as error:
             metrics.ORDERS.labels(name, "failed").inc()
             return OrderFailed(type(error).__name__)
-        if response.status_code == _CONFLICT:
+        if response.status_code == _STATUS_CONFLICT:
             metrics.ORDERS.labels(name, "refused").inc()
             return OrderRefused(text)
         if not response.ok:
@@ -186,39 +189,39 @@
 
 
 class UnfencedEngine(FencingEngine):
-    """A model engine that ignores fencing numbers: the agent is the guard.
+    """A model engine that ignores fencing numbers, so that the agent fences.
 
-    An order is sent only while the lease outlasts the order's timeout, and is
-    cut off by closing its connection then.
+    The timeout of an order is shorter than the remaining lease. An order that
+    exceeds it is cancelled by closing its connection.
     """
 
-    _LEASE_SHARE = 0.5
+    _MAX_LEASE_FRACTION = 0.5
 
-    def _may_order(self) -> bool:
+    def _lease_allows_order(self) -> bool:
         return self._lease.remaining_s > 0
 
-    def _timeout_s(self) -> float:
-        remaining_s = self._lease.remaining_s * self._LEASE_SHARE
+    def _current_timeout_s(self) -> float:
+        remaining_s = self._lease.remaining_s * self._MAX_LEASE_FRACTION
         return min(self._order_timeout_s, max(remaining_s, 0.0))
 
 
-class PlainService(_HttpTarget):
-    """A service that holds no weights and takes no orders."""
+class PlainService(_HttpEngine):
+    """A service that holds no weights and accepts no orders."""
 
     async def state(self) -> EngineState | EngineUnreachable:
-        """See Engine."""
+        """Returns an empty state, because a service has no versions."""
         return EngineState("", (), {})
 
     async def load(self, order: LoadOrder) -> OrderOutcome:
-        """See Engine."""
+        """Refuses the order."""
         return OrderRefused("a plain service loads nothing")
 
     async def activate(self, order: LoadOrder) -> OrderOutcome:
-        """See Engine."""
+        """Refuses the order."""
         return OrderRefused("a plain service loads nothing")
 
     async def unload(self, assignment: control_pb2.Assignment) -> OrderOutcome:
-        """See Engine."""
+        """Refuses the order."""
         return OrderRefused("a plain service loads nothing")
 
 
@@ -234,14 +237,14 @@
     return headers
 
 
-def _limit(response: aiosonic.HttpResponse) -> LimitWord:
-    value = response.headers.get(_LIMIT_HEADER)
+def _rate_limit(response: aiosonic.HttpResponse) -> LimitWord:
+    value = response.headers.get(_RATE_LIMIT_HEADER)
     return limit_named([] if value is None else [value])
 
 
-async def _pieces(response: aiosonic.HttpResponse) -> AsyncIterator[bytes]:
+async def _body_chunks(response: aiosonic.HttpResponse) -> AsyncIterator[bytes]:
     try:
-        async for piece in response.iter_bytes():
-            yield piece
+        async for chunk in response.iter_bytes():
+            yield chunk
     except HTTP_ERRORS as error:
         raise ConnectionError(str(error)) from error
--- a/damaskcroft/engines/_staged.py
+++ b/damaskcroft/engines/_staged.py
@@ -1,4 +1,4 @@
-"""Targets that load weights from pieces staged beside them."""
+"""Interface of targets that load weights from staged pieces."""
 
 import abc
 import dataclasses
@@ -11,16 +11,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What a target says of itself to the process beside it.
+    """The state that a target reports to the agent on its instance.
 
     Attributes:
-        held: layers in its memory.
-        busy: whether it is carrying out an order.
-        sequence: how many orders it has begun since its start.
-        running: requests that it works on.
-        born_ms: its start, in Unix milliseconds; 0 where it doesn't tell. A
-            change in between is a restart: it holds and knows nothing of
-            before, and counts its orders anew.
+        held: layers in memory.
+        busy: whether the target is running an order.
+        sequence: number of orders begun since the start of the target.
+        running: number of requests in progress.
+        born_ms: start of the target, in Unix milliseconds; 0 if not reported.
+            A changed value means a restart: the target has lost all layers
+            and all knowledge of earlier orders, and counts orders anew.
     """
 
     held: tuple[fleet_pb2.HeldLayers, ...]
@@ -31,31 +31,32 @@
 
 
 class StagedEngine(abc.ABC):
-    """A target beside this process; staging is not checked by the target."""
+    """A target on this instance; it does not verify staged pieces itself."""
 
     @abc.abstractmethod
     async def report(self) -> EngineReport | EngineUnreachable:
-        """Reads the target's state."""
+        """Fetches the state of the target."""
 
     @abc.abstractmethod
     async def put_piece(self, model: str, index: int, data: bytes) -> bool:
-        """Stages one piece; whether the target took it."""
+        """Stages one piece; returns whether the target accepted it."""
 
     @abc.abstractmethod
     async def get_piece(self, model: str, index: int) -> bytes | None:
-        """Reads a staged piece back; None if there is none."""
+        """Fetches a staged piece; None if there is none."""
 
     @abc.abstractmethod
     async def start(
         self, model: str, version: int, sequence: int, *, cut_running: bool
     ) -> OrderOutcome:
-        """Orders that the staged pieces be loaded as a version.
+        """Orders the target to load the staged pieces as a version.
 
         Args:
-            model: its name.
-            version: what the pieces are.
-            sequence: obey only if this many orders have begun so far.
-            cut_running: end running requests instead of waiting for them.
+            model: name of the model.
+            version: version of the staged pieces.
+            sequence: number of orders begun so far; the target runs the order
+                only if its own count is the same.
+            cut_running: abort running requests instead of waiting for them.
         """
 
     @abc.abstractmethod
@@ -66,16 +67,18 @@
         *,
         cut_running: bool = False,
     ) -> OrderOutcome:
-        """Orders that all layers be given up but some of those it holds.
+        """Orders the target to unload all layers except some that it holds.
 
-        From the order on the target refuses whatever needs the others; what
-        runs there ends. No pieces are needed, and a newer version can be
-        loaded whole afterwards, once nothing runs any more.
+        From then on the target refuses requests that need other layers;
+        running requests still end. No staged pieces are needed. A newer
+        version can be loaded completely afterwards, once no request is
+        running.
 
         Args:
             part: the layers to keep.
-            sequence: obey only if this many orders have begun so far.
-            cut_running: end running requests instead of letting them end.
+            sequence: number of orders begun so far; the target runs the order
+                only if its own count is the same.
+            cut_running: abort running requests instead of letting them end.
         """
 
     @abc.abstractmethod
