--- a/damaskcroft/forwarding/__init__.py
+++ b/damaskcroft/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Carrying callers' requests to targets and the answers back."""
+"""Forwards callers' requests to targets and relays the answers."""
 
 from damaskcroft.forwarding._call import (
     AnswerFacts,
@@ -9,17 +9,23 @@
 )
 from damaskcroft.forwarding._forwarder import Forwarder
 from damaskcroft.forwarding._gate import EntryGate
-from damaskcroft.forwarding._job import BrokenOff, Gave, Job, Ran, Refused
+from damaskcroft.forwarding._job import (
+    Delivered,
+    Interrupted,
+    Job,
+    Ran,
+    Refused,
+)
 from damaskcroft.forwarding._services import Services
 from damaskcroft.forwarding._suspects import Suspects
 
 __all__ = [
     "AnswerFacts",
-    "BrokenOff",
     "Call",
+    "Delivered",
     "EntryGate",
     "Forwarder",
-    "Gave",
+    "Interrupted",
     "Job",
     "Passing",
     "Ran",
--- a/damaskcroft/forwarding/_placing.py
+++ b/damaskcroft/forwarding/_allocator.py
@@ -1,16 +1,19 @@
-"""Where jobs are sent: at first by the queue, then again, or beside."""
+"""Allocation of targets' slots to first attempts, retries and hedges."""
 
 from damaskcroft.clock import now_s
-from damaskcroft.forwarding._availability import Availability, returns_s
+from damaskcroft.forwarding._availability import (
+    Availability,
+    spread_retry_after_s,
+)
 from damaskcroft.forwarding._job import (
     Ending,
     Job,
     Progress,
     Ran,
     Refused,
-    given_up,
+    failed_ending,
 )
-from damaskcroft.forwarding._relay import Sending
+from damaskcroft.forwarding._relay import Dispatch
 from damaskcroft.forwarding._services import Services
 from damaskcroft.forwarding._suspects import Suspects
 from damaskcroft.limits import RateLimits
@@ -27,19 +30,19 @@
     SlotTaken,
 )
 
-__all__ = ["Placing"]
+__all__ = ["SlotAllocator"]
 
 
-class Placing:
-    """Takes slots at targets for jobs.
+class SlotAllocator:
+    """Allocates slots at targets to jobs.
 
     Args:
-        services: which targets could run a request.
-        availability: which of them take one now.
-        placer: chooses among them.
-        limits: how many requests a second targets take.
-        suspects: requests that targets crashed under.
-        retry_window: how many attempts may follow a first one.
+        services: targets that could run a request.
+        availability: those of them that accept one now.
+        placer: selects one of them.
+        limits: rate limits of targets.
+        suspects: suspect requests.
+        retry_window: the retry budget.
 
     Attributes:
         queue: jobs that wait for a slot.
@@ -54,7 +57,7 @@
         suspects: Suspects,
         retry_window: RetryWindow,
     ):
-        """See the class."""
+        """Creates the queue; nothing waits in it yet."""
         self._services = services
         self._availability = availability
         self._placer = placer
@@ -74,14 +77,16 @@
             ),
         )
 
-    async def place(self, job: Job, progress: Progress) -> SlotTaken | Ending:
-        """Takes a slot at a target.
+    async def allocate(
+        self, job: Job, progress: Progress
+    ) -> SlotTaken | Ending:
+        """Allocates a slot at a target.
 
-        A job that was tried already, or whose answer has begun, waits in the
-        queue again only where no target can serve it now and one soon may.
+        A retry waits in the queue again only where no target can serve it now
+        and one may be able to soon.
         """
         if progress.sent or progress.unsent or progress.refused:
-            return await self._place_again(job, progress)
+            return await self._allocate_retry(job, progress)
         outcome = await self.queue.take_slot(self._ticket(job, progress))
         progress.pace.queued_s = now_s() - job.call.arrived_at
         match outcome:
@@ -89,13 +94,13 @@
                 return outcome
             case Overloaded(reason=reason, waiting=waiting):
                 detail = f"{waiting} waiting"
-                reason = self.why_none(reason, job.service)
+                reason = self.refine_reason(reason, job.service)
                 return Refused(
                     reason,
                     Ran.NO,
                     detail,
                     outcome.foreseen_s,
-                    returns_s(outcome.returns_s),
+                    spread_retry_after_s(outcome.returns_s),
                 )
 
     def _ticket(self, job: Job, progress: Progress) -> QueueTicket:
@@ -113,13 +118,13 @@
             tried_ids=frozenset(progress.excluded),
         )
 
-    def why_none(self, reason: str, service: str) -> str:
-        """Tells ready targets without the weights that are due from none."""
+    def refine_reason(self, reason: str, service: str) -> str:
+        """Replaces "no_target" where ready targets lack the due weights."""
         if reason == "no_target" and self._services.has_ready(service):
             return "no_weights"
         return reason
 
-    async def _place_again(
+    async def _allocate_retry(
         self, job: Job, progress: Progress
     ) -> SlotTaken | Ending:
         prompt_tokens = job.call.prompt_tokens
@@ -131,42 +136,46 @@
             is_suspect=is_suspect,
         )
         if placed is None:
-            return await self._wait_again(job, progress)
-        if not self._may_send_again(progress):
-            return given_up("no_retry_budget", progress)
+            return await self._wait_for_retry(job, progress)
+        if not self._spend_retry_budget(progress):
+            return failed_ending("no_retry_budget", progress)
         slot = self._take(
             placed.candidate, prompt_tokens, is_suspect=is_suspect
         )
         return SlotTaken(placed.candidate, slot)
 
-    async def _wait_again(
+    async def _wait_for_retry(
         self, job: Job, progress: Progress
     ) -> SlotTaken | Ending:
-        """Waits until one of a service's targets can serve again.
+        """Waits until a target of the service can serve the retry.
 
-        All of them may change their weights at once, or have just started.
+        All of them may be changing their weights, or may have just started.
         """
         kind = (job.service, job.call.model)
         closed = self._availability.closed(*kind, 0)
         if closed is not None:
-            return given_up(
-                closed.reason, progress, returns_s(closed.returns_s)
+            return failed_ending(
+                closed.reason, progress, spread_retry_after_s(closed.returns_s)
             )
-        is_any = bool(self._availability.candidates(*kind))
-        if is_any or not self._services.may_serve_soon(*kind):
-            return given_up("no_target", progress)
+        has_candidates = bool(self._availability.candidates(*kind))
+        if has_candidates or not self._services.may_serve_soon(*kind):
+            return failed_ending("no_target", progress)
         outcome = await self.queue.take_slot(self._ticket(job, progress))
         if isinstance(outcome, Overloaded):
-            reason = self.why_none(outcome.reason, job.service)
-            returns = returns_s(outcome.returns_s)
-            return given_up(reason, progress, returns)
-        if not self._may_send_again(progress):
+            reason = self.refine_reason(outcome.reason, job.service)
+            retry_after_s = spread_retry_after_s(outcome.returns_s)
+            return failed_ending(reason, progress, retry_after_s)
+        if not self._spend_retry_budget(progress):
             outcome.slot.give_back()
-            return given_up("no_retry_budget", progress)
+            return failed_ending("no_retry_budget", progress)
         return outcome
 
-    def _may_send_again(self, progress: Progress) -> bool:
-        """Takes a repeat for a job that was sent; whether one was left."""
+    def _spend_retry_budget(self, progress: Progress) -> bool:
+        """Spends the retry budget for a job that was sent before.
+
+        Returns:
+            Whether the job may be sent.
+        """
         if not progress.sent or self._retry_window.spend():
             return True
         metrics.RETRIES.labels("no_budget").inc()
@@ -175,7 +184,7 @@
     def _take(
         self, candidate: Candidate, prompt_tokens: int, *, is_suspect: bool
     ) -> Slot:
-        """Takes a place at a target for a request that is about to be sent."""
+        """Takes a slot at a target for a request that is about to be sent."""
         self._limits.sending(candidate.id)
         return self._placer.take(
             candidate, prompt_tokens, is_suspect=is_suspect
@@ -193,16 +202,19 @@
             is_suspect=ticket.is_suspect,
         )
 
-    def take_beside(
-        self, waiting: Sending, silent_ids: set[str]
+    def take_hedge_slot(
+        self, waiting: Dispatch, silent_ids: set[str]
     ) -> SlotTaken | None:
-        """Takes a slot and a repeat for a second attempt; None without one.
+        """Takes a slot and a retry for a hedged attempt.
 
         Args:
-            waiting: the attempt.
-            silent_ids: targets that have said nothing for long.
+            waiting: the attempt that is to be hedged.
+            silent_ids: ids of the silent targets.
+
+        Returns:
+            None if there is no suitable target or no retry budget.
         """
-        placed = self.choose_beside(waiting, silent_ids)
+        placed = self.choose_hedge_target(waiting, silent_ids)
         if placed is None or not self._retry_window.spend():
             return None
         slot = self._take(
@@ -212,25 +224,27 @@
         )
         return SlotTaken(placed.candidate, slot)
 
-    def choose_beside(
-        self, waiting: Sending, silent_ids: set[str]
+    def choose_hedge_target(
+        self, waiting: Dispatch, silent_ids: set[str]
     ) -> Placement | None:
-        """Where a second attempt may be of use; None if nowhere.
+        """Selects a target for a hedged attempt; None if there is none.
 
         Args:
-            waiting: the attempt.
-            silent_ids: targets that have said nothing for long.
+            waiting: the attempt that is to be hedged.
+            silent_ids: ids of the silent targets.
         """
         if waiting.answer.caller_has_ended:
-            # It may have left: only what is written to it would tell.
+            # The caller may have disconnected or only closed its sending side;
+            # only a write to it would show which.
             return None
         if self._retry_window.left < 1:
             return None
         job, progress = waiting.job, waiting.progress
         candidates = self._availability.candidates(job.service, job.call.model)
         excluded_ids = progress.excluded | silent_ids
-        if candidates == [waiting.target] and waiting.made.connect_s is None:
-            # Connections that were kept may be silent where a new one is not.
+        if candidates == [waiting.target] and waiting.attempt.connect_s is None:
+            # A reused connection may be dead while a new one to the same
+            # target works.
             excluded_ids = set()
         return self._placer.choose(
             candidates,
--- a/damaskcroft/forwarding/_answer_times.py
+++ b/damaskcroft/forwarding/_answer_times.py
@@ -1,15 +1,15 @@
-"""How long answers have lately taken, by route."""
+"""Recent durations of answers, by route."""
 
 from damaskcroft.clock import now_s
 
 __all__ = ["AnswerTimes"]
 
-# Answers count for this long at least, and for twice that at most.
+# Minimum time for which an answer counts; the maximum is twice as long.
 _WINDOW_S = 30.0
 
 
 class AnswerTimes:
-    """The longest answers of each route, from arrival to the last byte."""
+    """Longest recent answer of each route, from arrival to the last byte."""
 
     __slots__ = (
         "_began_at",
@@ -19,28 +19,28 @@
     )
 
     def __init__(self) -> None:
-        """Knows of no answer."""
+        """Starts without any recorded answer."""
         self._longest_by_route: dict[str, float] = {}
         self._earlier_by_route: dict[str, float] = {}
-        # When the first request came whose answer is known.
+        # Arrival of the first request whose answer was recorded.
         self._since_by_route: dict[str, float] = {}
         self._began_at = now_s()
 
-    def took(self, route: str, seconds: float) -> None:
-        """Takes note of a whole answer that has just ended."""
+    def record(self, route: str, seconds: float) -> None:
+        """Records the duration of an answer that has just been completed."""
         self._forget_old()
         self._since_by_route.setdefault(route, now_s() - seconds)
         if seconds > self._longest_by_route.get(route, 0.0):
             self._longest_by_route[route] = seconds
 
     def longest_s(self, route: str, timeout_s: float) -> float:
-        """How long an answer may take, by the longest of late.
+        """Longest recent answer of a route.
 
         Args:
             route: its name.
-            timeout_s: when any of its answers is over. This is returned until
-                the route was seen for as long, since only the quick answers
-                are known by then.
+            timeout_s: timeout of the route. It is returned until the route has
+                been observed for that long, because only quick answers can
+                have been recorded by then.
         """
         self._forget_old()
         since = self._since_by_route.get(route)
--- a/damaskcroft/forwarding/_attempt.py
+++ b/damaskcroft/forwarding/_attempt.py
@@ -1,4 +1,8 @@
-"""One request at one target, and what can be said of it afterwards."""
+"""One attempt of a request at one target, and its possible outcomes.
+
+The outcomes distinguish whether the request may have run, because a request
+that is not repeatable may be sent again only if it has certainly not run.
+"""
 
 import asyncio
 import contextlib
@@ -22,24 +26,25 @@
     "Lost",
     "NotRun",
     "NotSent",
-    "attempt",
+    "open_attempt",
 ]
 
-# Several round trips between regions, with a packet lost and sent again.
+# Several round trips between regions, including one retransmitted packet.
 _CONNECT_TIMEOUT_S = 0.5
-# A refusal's body explains itself; more than this isn't worth a connection.
+# Maximum body of a refusal that is read to keep the connection usable; with a
+# larger one, closing the connection costs less.
 _MAX_REFUSAL_BYTES = 64 * 1024
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotSent:
-    """No byte of the request has left; it can't have run.
+    """No byte of the request was sent; it can't have run.
 
     Attributes:
-        reason: why, also a counter's label.
-        unreachable: whether the target could not be connected to; else there
-            was a reason of our own, which doesn't speak against it.
-        at_once: whether it refused the connection, which takes no time.
+        reason: the cause, also a counter's label.
+        unreachable: whether connecting failed; otherwise the entry withheld
+            the request, which is no failure of the target.
+        at_once: whether the target refused the connection immediately.
     """
 
     reason: str
@@ -57,12 +62,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lost:
-    """Sent, with no usable answer: it may have run.
+    """The request was sent without a usable answer; it may have run.
 
     Attributes:
-        reason: how, also a counter's label.
-        cut: whether the connection ended, from the other side, before the
-            answer did.
+        reason: the cause, also a counter's label.
+        cut: whether the other side closed the connection before the end of
+            the answer.
         given_up: whether the entry ended the attempt.
     """
 
@@ -80,22 +85,22 @@
 
 
 class Attempt:
-    """A request that is being sent to one target."""
+    """A request on a connection to one target."""
 
     __slots__ = (
-        "_anew",
+        "_new_connection",
         "_call",
         "_connection",
-        "_heard",
+        "_on_data",
         "_passing",
         "_place",
         "_pool",
         "_why_not_send",
         "_wire",
+        "abort_reason",
         "begun",
         "connect_s",
         "finished",
-        "given_up",
         "is_sent",
         "is_waiting",
     )
@@ -107,55 +112,58 @@
         place: Place,
         call: Call,
         passing: Passing,
-        heard: Callable[[], None],
+        on_data: Callable[[], None],
         why_not_send: Callable[[float], str | None],
-        anew: bool,
+        new_connection: bool,
     ):
         """Prepares an attempt; `begin` sends it.
 
         Args:
-            wire: how it is written down.
+            wire: encoding of headers.
             pool: connections to use.
             place: the target.
             call: the caller's request.
-            passing: what this attempt says beyond it.
-            heard: called whenever something comes from the target.
-            why_not_send: asked right before the first byte is sent, with
-                the seconds that connecting took: much may have changed by
-                then. None to send it.
-            anew: whether on a new connection: kept ones may be as silent as
-                the one that made it needed.
+            passing: metadata of this attempt.
+            on_data: called whenever data arrives from the target.
+            why_not_send: called right before the first byte is sent, with the
+                seconds that connecting took, because conditions may have
+                changed meanwhile; returns a reason to withhold the request, or
+                None to send it.
+            new_connection: whether to open a new connection, because idle ones
+                may be as silent as the one whose attempt is hedged.
         """
-        self._anew = anew
-        self._heard = heard
+        self._new_connection = new_connection
+        self._on_data = on_data
         self._why_not_send = why_not_send
-        # Why it was ended from outside; empty while it wasn't.
-        self.given_up = ""
+        # Reason for which the entry ended the attempt; empty otherwise.
+        self.abort_reason = ""
         self._wire = wire
         self._pool = pool
         self._place = place
         self._call = call
         self._passing = passing
         self._connection: TargetConnection | None = None
-        # Whether any byte of the request may have left.
+        # Whether any byte of the request may have been sent.
         self.is_sent = False
-        # Whether it waits for the target now, and not for the caller.
+        # Whether it currently waits for the target rather than the caller.
         self.is_waiting = False
-        # Whether the answer came whole, so that the connection may be kept.
+        # Whether the answer is complete, so that the connection can be reused.
         self.finished = False
         # Whether the target has begun to answer.
         self.begun = False
-        # What connecting took; None for a kept connection, or before it.
+        # Duration of connecting; None before it and for a reused connection.
         self.connect_s: float | None = None
 
     @property
     def is_open(self) -> bool:
-        """Whether its target may still answer."""
-        return self._connection is not None and not self.given_up
+        """Whether the target may still answer."""
+        return self._connection is not None and not self.abort_reason
 
     async def begin(self) -> NotSent | NotRun | Lost | Answered:
         """Sends the request and reads the head of its answer."""
-        connection = None if self._anew else self._pool.idle(self._place)
+        connection = (
+            None if self._new_connection else self._pool.idle(self._place)
+        )
         began_at = now_s()
         if connection is None:
             try:
@@ -182,10 +190,10 @@
             return self.lost(_lost_reason(error, connection))
         finally:
             self.is_waiting = False
-        if self.given_up:
-            # What had come before the connection was closed.
-            return self.lost(self.given_up)
-        self._heard()
+        if self.abort_reason:
+            # The head was received before the connection was closed.
+            return self.lost(self.abort_reason)
+        self._on_data()
         self.begun = True
         facts = self._wire.facts(head)
         if not facts.not_run:
@@ -195,10 +203,10 @@
         return NotRun(head.status, facts)
 
     async def read_part(self) -> bytes:
-        """The next bytes of the answer's body; empty at its end.
+        """Reads the next bytes of the answer's body; empty at its end.
 
         Raises:
-            CutShortError: the body ended before its end.
+            CutShortError: the body was truncated.
         """
         assert self._connection is not None, "begin comes first"
         self.is_waiting = True
@@ -206,38 +214,38 @@
             part = await self._connection.read_part()
         finally:
             self.is_waiting = False
-        if self.given_up:
-            # What had come before the connection was closed.
-            raise CutShortError(self.given_up)
-        self._heard()
+        if self.abort_reason:
+            # The part was received before the connection was closed.
+            raise CutShortError(self.abort_reason)
+        self._on_data()
         self.finished = not part
         return part
 
     def lost(self, reason: str) -> Lost:
-        """How the attempt ended before its answer did.
+        """Outcome of an attempt that ended before its answer was complete.
 
         Args:
-            reason: what the connection told; an attempt that was given up ends
-                for that, whatever its own closing looked like.
+            reason: the connection's error; ignored if the entry ended the
+                attempt, because the error then only reflects that.
         """
-        if self.given_up:
-            return Lost(self.given_up, given_up=True)
+        if self.abort_reason:
+            return Lost(self.abort_reason, given_up=True)
         return Lost(reason, cut=True)
 
-    def give_up(self, reason: str) -> None:
-        """Ends the attempt from outside; it counts as lost."""
+    def abort(self, reason: str) -> None:
+        """Ends the attempt by closing its connection; it counts as lost."""
         if self._connection is not None:
-            self.given_up = reason
+            self.abort_reason = reason
             self._connection.close()
 
     async def read_whole(self, max_bytes: int) -> tuple[bytes, bool]:
         """Reads the body up to a size.
 
         Returns:
-            What was read, and whether that is all.
+            The bytes read, and whether the body is complete.
 
         Raises:
-            CutShortError: the body ended before its end.
+            CutShortError: the body was truncated.
         """
         body = bytearray()
         while len(body) <= max_bytes:
@@ -248,7 +256,7 @@
         return bytes(body), False
 
     def close(self) -> None:
-        """Keeps the connection if the answer came whole, else ends it."""
+        """Returns the connection to the pool if the answer is complete."""
         connection, self._connection = self._connection, None
         if connection is None:
             return
@@ -263,23 +271,29 @@
 
 
 @contextlib.asynccontextmanager
-async def attempt(
+async def open_attempt(
     wire: Wire,
     pool: ConnectionPool,
     place: Place,
     call: Call,
     passing: Passing,
-    heard: Callable[[], None],
+    on_data: Callable[[], None],
     why_not_send: Callable[[float], str | None] = lambda _: None,
     *,
-    anew: bool = False,
+    new_connection: bool = False,
 ) -> AsyncIterator[Attempt]:
-    """One attempt; whatever ends the block also ends the target's work."""
-    made = Attempt(wire, pool, place, call, passing, heard, why_not_send, anew)
+    """Yields an attempt; its connection is released after the block.
+
+    Closing the connection of an incomplete answer lets the target stop working
+    on the request.
+    """
+    new_attempt = Attempt(
+        wire, pool, place, call, passing, on_data, why_not_send, new_connection
+    )
     try:
-        yield made
+        yield new_attempt
     finally:
-        made.close()
+        new_attempt.close()
 
 
 def _not_connected(error: OSError) -> NotSent:
@@ -289,5 +303,5 @@
 
 
 def _lost_reason(error: NoAnswerError, connection: TargetConnection) -> str:
-    kept = "kept" if connection.answered else "new"
-    return f"no_answer_on_{kept}_connection: {error}"
+    connection_age = "kept" if connection.answered else "new"
+    return f"no_answer_on_{connection_age}_connection: {error}"
--- a/damaskcroft/forwarding/_availability.py
+++ b/damaskcroft/forwarding/_availability.py
@@ -1,4 +1,8 @@
-"""Which targets of a service take a request now, and when the first does."""
+"""Targets of a service that accept a request now, or when one will.
+
+Leaves out targets that have requested a back-off, are leaving or have reached
+their rate limit.
+"""
 
 import random
 
@@ -6,19 +10,20 @@
 from damaskcroft.limits import RateLimits
 from damaskcroft.routing import BackPressure, Candidate, Closed
 
-__all__ = ["Availability", "returns_s"]
+__all__ = ["Availability", "spread_retry_after_s"]
 
-# Callers that were refused together return over so much more of their wait.
-_RETURNS_SPREAD = 0.5
+# Callers that are refused together get Retry-After times that are spread over
+# this additional share of the wait.
+_RETRY_AFTER_SPREAD = 0.5
 
 
 class Availability:
-    """Targets that could run a request, less those that want none.
+    """Filters the targets that could run a request by what they accept.
 
     Args:
-        services: which targets could run a request.
-        back_pressure: what targets ask for in their answers.
-        limits: how many requests a second targets take.
+        services: targets that could run a request.
+        back_pressure: back-off and leaving that targets have announced.
+        limits: rate limits of targets.
     """
 
     __slots__ = ("_back_pressure", "_limits", "_services")
@@ -29,20 +34,20 @@
         back_pressure: BackPressure,
         limits: RateLimits,
     ):
-        """See the class."""
+        """Stores the sources of the filters."""
         self._services = services
         self._back_pressure = back_pressure
         self._limits = limits
 
     def candidates(self, service: str, model: str) -> list[Candidate]:
-        """Targets that take a request now.
+        """Targets that accept a request now.
 
-        One that says that it leaves is used while there is no other.
+        Targets that are leaving are used only while there is no other.
         """
         candidates = self._services.candidates(service, model)
-        if not self._is_any:
+        if not self._has_restrictions:
             return candidates
-        taking = [
+        accepting = [
             candidate
             for candidate in candidates
             if self._back_pressure.may_be_sent(candidate.id)
@@ -50,20 +55,20 @@
         ]
         staying = [
             candidate
-            for candidate in taking
+            for candidate in accepting
             if not self._back_pressure.is_leaving(candidate.id)
         ]
-        return staying or taking
+        return staying or accepting
 
     def closed(self, service: str, model: str, before: int) -> Closed | None:
-        """Why no target takes a request; None if one does, or there is none.
+        """Why no target accepts a request; None if one does or none exists.
 
         Args:
-            service: its name.
-            model: what the request asks for; empty for plain services.
-            before: how many requests go before it.
+            service: name of the service.
+            model: requested model; empty for services without models.
+            before: how many requests are ahead in the queue.
         """
-        if not self._is_any or self.candidates(service, model):
+        if not self._has_restrictions or self.candidates(service, model):
             return None
         staying_ids = [
             candidate.id
@@ -72,32 +77,33 @@
         ]
         if not staying_ids:
             return None
-        awake_ids = [
+        open_ids = [
             target_id
             for target_id in staying_ids
             if not self._back_pressure.rests_s(target_id)
         ]
-        if not awake_ids:
+        if not open_ids:
             rests_s = min(map(self._back_pressure.rests_s, staying_ids))
             return Closed("resting", rests_s, rests_s)
-        waits_s = min(map(self._limits.waits_s, awake_ids))
-        returns_s = min(map(self._limits.returns_s, awake_ids))
-        share_s = sum(map(self._limits.share_s, awake_ids))
+        waits_s = min(map(self._limits.waits_s, open_ids))
+        returns_s = min(map(self._limits.returns_s, open_ids))
+        share_s = sum(map(self._limits.share_s, open_ids))
         if before and share_s:
             waits_s += before / share_s
             returns_s += before / share_s
         return Closed("rate_limited", waits_s, returns_s)
 
     @property
-    def _is_any(self) -> bool:
+    def _has_restrictions(self) -> bool:
         return self._back_pressure.is_any or self._limits.is_any
 
 
-def returns_s(closed_s: float) -> float | None:
-    """When to come back to targets that take nothing; None if unknown.
+def spread_retry_after_s(closed_s: float) -> float | None:
+    """Retry-After for targets that accept nothing; None if unknown.
 
-    Spread, since all that were refused meanwhile hear of the same time.
+    It is spread randomly, because all callers that are refused meanwhile would
+    otherwise get the same time and retry together.
     """
     if not closed_s:
         return None
-    return closed_s * (1 + _RETURNS_SPREAD * random.random())
+    return closed_s * (1 + _RETRY_AFTER_SPREAD * random.random())
--- a/damaskcroft/forwarding/_call.py
+++ b/damaskcroft/forwarding/_call.py
@@ -1,4 +1,4 @@
-"""A caller's request, and what a target's answer says beside its body."""
+"""A caller's request, and the metadata of a target's answer."""
 
 import abc
 import dataclasses
@@ -14,21 +14,21 @@
     """One request of a caller.
 
     Attributes:
-        request_id: the caller's id for this attempt of it.
+        request_id: the caller's id of this attempt of the request.
         method: for example b"POST".
-        target: path and query, passed on as they came.
-        host: names the route together with the path.
-        path: without the query.
-        headers: those that go on to the target.
-        body: the whole body.
-        key: who the caller says it is; empty for none.
-        deadline_s: how long the caller waits; None if it doesn't say.
-        arrived_at: loop time at which it was read.
-        last_event_id: event after which a stream should go on, or None.
-        model: which model should answer; empty for plain services.
+        target: path and query, forwarded unchanged.
+        host: selects the route, together with the path.
+        path: path without the query.
+        headers: headers that are forwarded to the target.
+        body: the complete body.
+        key: API key of the caller; empty if it sent none.
+        deadline_s: how long the caller waits; None if it is not stated.
+        arrived_at: loop time at which the request was read.
+        last_event_id: event after which a stream is to be resumed, or None.
+        model: requested model; empty for services without models.
         prompt_tokens: length of the prompt.
-        max_answer_tokens: most tokens to answer with.
-        prefix_ids: parts that the prompt is made of, the shared ones first.
+        max_answer_tokens: maximum length of the answer.
+        prefix_ids: ids of the parts of the prompt, shared ones first.
     """
 
     request_id: str
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetLoad:
-    """What a target says of its own load in an answer."""
+    """Load that a target reports in an answer."""
 
     running: int
     waiting: int
@@ -59,20 +59,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerFacts:
-    """What the headers of a target's answer say.
+    """Metadata in the headers of a target's answer.
 
     Attributes:
-        request_id: whose answer it is; empty if it doesn't say.
+        request_id: id of the answered request; empty if it is not stated.
         not_run: the target certifies that the request has not run.
-        sealed: the target vouches for status and body.
-        target_id: which target answered; empty if it doesn't say.
-        load: its load, or None.
-        weights_version: version of the weights that answer, or 0.
-        misdirected: the target is another one than the request is for.
-        rest_s: how long the target wants no request of this entry; None if
-            it doesn't ask for that.
+        sealed: the target certifies status and body as its own.
+        target_id: id of the target that answered; empty if it is not stated.
+        load: reported load of the target, or None.
+        weights_version: version of the weights that were used, or 0.
+        misdirected: the request was addressed to a different target.
+        rest_s: back-off, the time for which this entry is to send the target
+            no request; None if none is requested.
         leaving: the target is about to end.
-        limit: how many requests a second it takes from all senders.
+        limit: rate limit of the target over all senders.
     """
 
     request_id: str
@@ -89,14 +89,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Passing:
-    """What one attempt tells its target beyond the caller's headers.
+    """Metadata of one attempt that is sent in addition to caller's headers.
 
     Attributes:
-        target_id: the only target that may run it.
-        customer: whose request it is; empty on public routes.
-        deadline_s: how long the target may work.
-        priority: 0 is the most urgent, 9 the least; None for none.
-        last_event_id: event after which the stream should go on, or None.
+        target_id: the only target that may run the request.
+        customer: customer of the request; empty on public routes.
+        deadline_s: time within which the target must answer.
+        priority: 0 is the most urgent, 9 the least; None if unset.
+        last_event_id: event after which the stream is to be resumed, or None.
         weights_version: the only version that may run it, or 0 for any.
     """
 
@@ -109,26 +109,26 @@
 
 
 class Wire(abc.ABC):
-    """How callers and targets write all this down."""
+    """Encoding of this metadata in the headers of callers and targets."""
 
     @abc.abstractmethod
     def call(self, request: CallerRequest) -> Call | None:
-        """Decodes a caller's request; None if a header makes no sense."""
+        """Decodes a caller's request; None if a header is malformed."""
 
     @abc.abstractmethod
     def target_headers(self, call: Call, passing: Passing) -> Headers:
-        """The headers of one attempt."""
+        """Encodes the headers of one attempt."""
 
     @abc.abstractmethod
     def facts(self, head: Head) -> AnswerFacts:
-        """Decodes what an answer's headers say."""
+        """Decodes the metadata in an answer's headers."""
 
     @abc.abstractmethod
     def answer_headers(self, head: Head) -> Headers:
-        """An answer's headers as they go on to the caller."""
+        """Selects the headers of an answer that are relayed to the caller."""
 
     @abc.abstractmethod
     def refusal_headers(
         self, request_id: str, retry_after_s: float | None
     ) -> Headers:
-        """Headers of an answer of our own."""
+        """Encodes the headers of an answer that the entry itself gives."""
--- a/damaskcroft/forwarding/_events.py
+++ b/damaskcroft/forwarding/_events.py
@@ -1,8 +1,8 @@
-"""Whole events out of an event stream's bytes.
+"""Splits the bytes of an event stream into complete events.
 
-After the "Server-sent events" section of the HTML standard: an event ends
-with an empty line; `id` names it. A target may stop in the middle of one, and
-half an event must not reach the caller.
+Follows the "Server-sent events" section of the HTML standard: an event ends
+with an empty line, and its `id` field identifies it. A target may stop in the
+middle of an event, and a partial event must not reach the caller.
 """
 
 import dataclasses
@@ -10,17 +10,18 @@
 
 __all__ = ["Event", "EventSplitter"]
 
-# No event of a few tokens comes near this; more is no event stream.
+# Far above the size of an event of a few tokens; a longer one means that the
+# body is not an event stream.
 _MAX_EVENT_BYTES = 1024 * 1024
 _EVENT_END = re.compile(rb"\r?\n\r?\n")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event.
+    """One complete event.
 
     Attributes:
-        data: its bytes with the empty line.
+        data: its bytes, including the empty line at its end.
         id: its number, or None if it has none.
     """
 
@@ -29,40 +30,40 @@
 
 
 class EventSplitter:
-    """Cuts bytes into events."""
+    """Incremental splitter of a byte stream into events."""
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_remainder",)
 
     def __init__(self) -> None:
-        """Starts between two events."""
-        self._rest = b""
+        """Starts at the boundary between two events."""
+        self._remainder = b""
 
     @property
-    def rest(self) -> bytes:
-        """Bytes after the last whole event."""
-        return self._rest
+    def remainder(self) -> bytes:
+        """Bytes after the last complete event."""
+        return self._remainder
 
     def feed(self, data: bytes) -> list[Event]:
-        """The events that end in `data`.
+        """Returns the events that are completed by `data`.
 
         Raises:
-            ValueError: what comes is no event stream.
+            ValueError: the data is not an event stream.
         """
-        held = self._rest + data
+        buffered = self._remainder + data
         events = []
         start = 0
-        for end in _EVENT_END.finditer(held):
-            piece = held[start : end.end()]
-            events.append(Event(piece, _id(piece)))
+        for end in _EVENT_END.finditer(buffered):
+            event_bytes = buffered[start : end.end()]
+            events.append(Event(event_bytes, _event_id(event_bytes)))
             start = end.end()
-        self._rest = held[start:]
-        if len(self._rest) > _MAX_EVENT_BYTES:
-            raise ValueError("an event without end")
+        self._remainder = buffered[start:]
+        if len(self._remainder) > _MAX_EVENT_BYTES:
+            raise ValueError("event longer than 1 MiB")
         return events
 
 
-def _id(piece: bytes) -> int | None:
-    for line in piece.split(b"\n"):
+def _event_id(event_bytes: bytes) -> int | None:
+    for line in event_bytes.split(b"\n"):
         name, _, value = line.partition(b":")
         if name == b"id":
             text = value.strip()
--- a/damaskcroft/forwarding/_forwarder.py
+++ b/damaskcroft/forwarding/_forwarder.py
@@ -1,38 +1,38 @@
-"""Carries a caller's request to a target and the answer back, once."""
+"""Forwards callers' requests to targets: attempts, retries and hedges."""
 
 import asyncio
 import contextlib
 from collections.abc import AsyncIterator, Callable
 
 from damaskcroft.clock import now_s
+from damaskcroft.forwarding._allocator import SlotAllocator
 from damaskcroft.forwarding._attempt import (
     Answered,
     Lost,
     NotRun,
     NotSent,
-    attempt,
+    open_attempt,
 )
 from damaskcroft.forwarding._availability import Availability
 from damaskcroft.forwarding._call import AnswerFacts, Passing, Wire
 from damaskcroft.forwarding._hedge import Hedge, hedged
 from damaskcroft.forwarding._job import (
     DEADLINE,
-    BrokenOff,
+    Delivered,
     EndedBy,
     Ending,
-    Gave,
+    Interrupted,
     Job,
     Progress,
-    given_up,
+    failed_ending,
 )
-from damaskcroft.forwarding._placing import Placing
 from damaskcroft.forwarding._relay import (
+    Dispatch,
     Relay,
-    Sending,
-    why_not_instead,
+    why_not_substitute,
 )
 from damaskcroft.forwarding._request_log import RequestLog
-from damaskcroft.forwarding._running import Running
+from damaskcroft.forwarding._running import RunningAttempts
 from damaskcroft.forwarding._services import Services
 from damaskcroft.forwarding._suspects import (
     QUARANTINED,
@@ -59,23 +59,26 @@
 
 __all__ = ["Forwarder"]
 
-# Targets that could not be connected to in time, before a request is given up.
+# Maximum number of targets to which connecting times out or a request is
+# withheld, before the request fails.
 _MAX_UNSENT = 4
-# Those that refuse connections cost next to nothing, and many do where a rack
-# has ended: targets that have just lost all their work look emptiest.
+# The same for targets that refuse connections. An attempt at one costs almost
+# nothing, and there are many when a rack has failed: targets that have just
+# lost all their requests appear the least loaded.
 _MAX_REFUSED = 64
-# Least time that is worth sending a request for.
+# Minimum remaining time for which a request is still sent.
 _MIN_LEFT_S = 0.03
-# How often silent targets are looked for; an eighth of what counts as silent.
-_LOOK_EVERY_S = 0.1
-# Why an attempt wasn't sent, or was ended, that says nothing of its target.
+# Interval of the checks for silent targets; an eighth of the time after which
+# a target counts as silent.
+_CHECK_INTERVAL_S = 0.1
+# Reasons for not sending a request that are no failures of the target.
 _TOO_LATE = "too_late_for_its_weights"
-_LEFT_ALONE = "target_wants_none"
+_BACK_OFF = "target_wants_none"
 _RATE_LIMITED = "rate_limited"
 
 
 class Forwarder:
-    """Sends jobs to targets."""
+    """Sends jobs to targets and relays the answers."""
 
     def __init__(
         self,
@@ -90,35 +93,36 @@
         back_pressure: BackPressure,
         limits: RateLimits,
         suspects: Suspects,
-        doubt: Callable[[str], None],
+        on_replaced: Callable[[str], None],
     ):
-        """Uses the entry's parts; see their classes.
+        """Sets up forwarding with the components of the entry.
 
         Args:
-            wire: how requests are written down.
-            services: which targets could run a request.
-            placer: chooses among them.
-            outliers: targets that failed.
-            connections: to targets.
-            retry_window: how many attempts may follow a first one.
-            silence: targets that say nothing.
-            delays: how soon targets answer.
-            back_pressure: what targets ask for in their answers.
-            limits: how many requests a second targets take.
-            suspects: requests that targets crashed under.
-            doubt: told the id of a target at whose address another answers.
+            wire: encoding of headers.
+            services: targets that could run a request.
+            placer: selects one of them.
+            outliers: outlier ejection of targets that failed.
+            connections: pool of connections to targets.
+            retry_window: the retry budget.
+            silence: detects silent targets.
+            delays: response delays of targets.
+            back_pressure: back-off and leaving that targets have announced.
+            limits: rate limits of targets.
+            suspects: suspect requests.
+            on_replaced: called with the id of a target at whose address another
+                target answers.
         """
         self._suspects = suspects
         self._back_pressure = back_pressure
         self._limits = limits
-        self._doubt = doubt
+        self._on_replaced = on_replaced
         self._delays = delays
         self._silence = silence
-        self._running = Running(services, suspects)
+        self._running = RunningAttempts(services, suspects)
         self._silent_ids: set[str] = set()
-        # Of jobs that are under way.
-        self._bounds: set[asyncio.Timeout] = set()
-        self._placing = Placing(
+        # Deadlines of running jobs, which `end_by` may bring forward.
+        self._deadlines: set[asyncio.Timeout] = set()
+        self._allocator = SlotAllocator(
             services,
             Availability(services, back_pressure, limits),
             placer,
@@ -126,8 +130,8 @@
             suspects,
             retry_window,
         )
-        self._queue = self._placing.queue
-        self._relay = Relay(wire, self._queue.serve, self._note_first)
+        self._queue = self._allocator.queue
+        self._relay = Relay(wire, self._queue.serve, self._record_first_output)
         self._wire = wire
         self._services = services
         self._placer = placer
@@ -137,21 +141,21 @@
         self._log = RequestLog(services, placer, delays, silence, retry_window)
 
     async def run(self) -> None:
-        """Looks at silent targets and at who waits in the queue."""
+        """Periodically checks silent targets, the queue and suspicions."""
         while True:
-            await asyncio.sleep(_LOOK_EVERY_S)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
             self._queue.serve()
-            self._suspects.look()
+            self._suspects.check_crashes()
             for wait in self._queue.newly_long():
-                reason = self._placing.why_none(
+                reason = self._allocator.refine_reason(
                     wait.reason, wait.ticket.service
                 )
                 self._log.queued(wait, reason)
-            self._look_at_silence(set(self._silence.silent_ids()))
-            self._running.give_up_lost(self._silent_ids)
+            self._check_silent_targets(set(self._silence.silent_ids()))
+            self._running.abort_lost(self._silent_ids)
 
-    def _look_at_silence(self, silent_ids: set[str]) -> None:
-        """Puts silent targets aside until they are heard, and hedges."""
+    def _check_silent_targets(self, silent_ids: set[str]) -> None:
+        """Ejects silent targets until they respond, and hedges requests."""
         for target_id in self._silent_ids - silent_ids:
             if self._silence.has_work(target_id):
                 self._outliers.succeeded(target_id)
@@ -164,51 +168,57 @@
         self._hedge(silent_ids)
 
     async def forward(self, job: Job, answer: Answer) -> Ending:
-        """Gives a target's answer to the caller, or says why there is none.
+        """Relays a target's answer to the caller.
+
+        Returns:
+            How the job ended: a refusal is left for the caller of this method
+            to send.
 
         Raises:
-            ChannelLostError: the caller has gone.
+            ChannelLostError: the caller has disconnected.
         """
         self._retry_window.earn()
         progress = Progress(job.call)
         try:
-            async with self._bounded(job.deadline_at) as bound:
+            async with self._with_deadline(job.deadline_at) as deadline:
                 ending = await self._try_targets(job, answer, progress)
         except TimeoutError:
-            if not bound.expired():
+            if not deadline.expired():
                 raise
-            ending = given_up(DEADLINE, progress)
+            ending = failed_ending(DEADLINE, progress)
         except (asyncio.CancelledError, ChannelLostError):
-            self._note_cut(job, progress, answer)
+            self._log_disconnect(job, progress, answer)
             raise
         match ending:
-            case Gave(status=status):
+            case Delivered(status=status):
                 self._log.answered(job, progress, status)
-            case BrokenOff(reason=reason, ended_by=ended_by):
+            case Interrupted(reason=reason, ended_by=ended_by):
                 self._log.unanswered(job, progress, answer, ended_by, reason)
         return ending
 
     def end_by(self, ends_at: float) -> None:
-        """Gives each job that is under way its final answer by a loop time."""
-        for bound in self._bounds:
-            until = bound.when()
+        """Brings the deadlines of running jobs forward to a loop time."""
+        for deadline in self._deadlines:
+            until = deadline.when()
             if until is None or until > ends_at:
-                bound.reschedule(ends_at)
+                deadline.reschedule(ends_at)
 
     @contextlib.asynccontextmanager
-    async def _bounded(
+    async def _with_deadline(
         self, deadline_at: float
     ) -> AsyncIterator[asyncio.Timeout]:
-        """Ends the block by TimeoutError at a deadline, or by `end_by`."""
-        async with asyncio.timeout_at(deadline_at) as bound:
-            self._bounds.add(bound)
+        """Raises TimeoutError at a deadline that `end_by` can bring forward."""
+        async with asyncio.timeout_at(deadline_at) as deadline:
+            self._deadlines.add(deadline)
             try:
-                yield bound
+                yield deadline
             finally:
-                self._bounds.discard(bound)
+                self._deadlines.discard(deadline)
 
-    def _note_cut(self, job: Job, progress: Progress, answer: Answer) -> None:
-        """The caller's connection is gone, by the caller or by our own end."""
+    def _log_disconnect(
+        self, job: Job, progress: Progress, answer: Answer
+    ) -> None:
+        """Logs a connection that was closed by the caller or by our stop."""
         if answer.caller_has_ended:
             ended_by, reason = EndedBy.CALLER, "caller_left"
         else:
@@ -227,48 +237,51 @@
     async def _try_next(
         self, job: Job, answer: Answer, progress: Progress
     ) -> Ending | None:
-        """Places a job and tries it once; None if it may be tried again."""
-        ending = self._why_stop(job, progress)
+        """Makes the next attempt; None if another one may follow."""
+        ending = self._final_ending(job, progress)
         if ending is not None:
             return ending
-        taken = await self._placing.place(job, progress)
-        if not isinstance(taken, SlotTaken):
-            return taken
-        return await self._try_one(job, answer, progress, taken)
+        allocated = await self._allocator.allocate(job, progress)
+        if not isinstance(allocated, SlotTaken):
+            return allocated
+        return await self._try_one(job, answer, progress, allocated)
 
     def _hedge(self, silent_ids: set[str]) -> None:
-        """Sends what waits in vain to other targets, beside it."""
-        for waiting in self._running.to_hedge(silent_ids):
-            if self._why_stop(waiting.job, waiting.progress) is not None:
+        """Starts hedged attempts for requests at silent targets."""
+        for waiting in self._running.attempts_to_hedge(silent_ids):
+            if self._final_ending(waiting.job, waiting.progress) is not None:
                 continue
-            if self._placing.choose_beside(waiting, silent_ids) is not None:
-                waiting.hedge.begin(self._try_beside(waiting, silent_ids))
-
-    async def _try_beside(
-        self, waiting: Sending, silent_ids: set[str]
+            if (
+                self._allocator.choose_hedge_target(waiting, silent_ids)
+                is not None
+            ):
+                waiting.hedge.begin(self._try_hedge(waiting, silent_ids))
+
+    async def _try_hedge(
+        self, waiting: Dispatch, silent_ids: set[str]
     ) -> Ending | None:
-        """A second attempt; None if there is none, or it gives no answer."""
-        taken = self._placing.take_beside(waiting, silent_ids)
-        if taken is None:
+        """Makes a hedged attempt; None if it is not sent or not answered."""
+        allocated = self._allocator.take_hedge_slot(waiting, silent_ids)
+        if allocated is None:
             return None
         return await self._try_one(
             waiting.job,
             waiting.answer,
             waiting.progress,
-            taken,
+            allocated,
             waiting.hedge,
         )
 
-    def _why_stop(self, job: Job, progress: Progress) -> Ending | None:
+    def _final_ending(self, job: Job, progress: Progress) -> Ending | None:
         quarantined_s = self._suspects.quarantined_s(job, progress)
         if quarantined_s:
-            return self._suspects.refused(job, progress, quarantined_s)
+            return self._suspects.refusal(job, progress, quarantined_s)
         if progress.unsent >= _MAX_UNSENT or progress.refused >= _MAX_REFUSED:
-            return given_up("unreachable", progress)
+            return failed_ending("unreachable", progress)
         if not job.has_attempt_after(progress):
-            return given_up("attempts_used", progress)
+            return failed_ending("attempts_used", progress)
         if job.left_s < _MIN_LEFT_S:
-            return given_up(DEADLINE, progress)
+            return failed_ending(DEADLINE, progress)
         return None
 
     async def _try_one(
@@ -276,24 +289,24 @@
         job: Job,
         answer: Answer,
         progress: Progress,
-        taken: SlotTaken,
-        instead_of: Hedge | None = None,
+        allocated: SlotTaken,
+        primary: Hedge | None = None,
     ) -> Ending | None:
-        """One attempt, and whatever begins beside it.
+        """Makes one attempt, which may be hedged while it runs.
 
         Args:
-            job: what is sent.
-            answer: where the caller's answer goes.
-            progress: what became of the job so far.
-            taken: where it is sent.
-            instead_of: the attempt at a silent target that goes on until this
-                one is answered.
+            job: the job that is sent.
+            answer: the answer to the caller.
+            progress: state of the job across its attempts.
+            allocated: the allocated target and slot.
+            primary: hedge of the attempt at a silent target, which continues
+                until this attempt is answered.
 
         Returns:
             None if another target may be tried.
         """
-        with hedged(instead_of) as hedge:
-            ending = await self._send(job, answer, progress, taken, hedge)
+        with hedged(primary) as hedge:
+            ending = await self._send(job, answer, progress, allocated, hedge)
             if ending is None:
                 return await hedge.ending()
             return ending
@@ -303,12 +316,12 @@
         job: Job,
         answer: Answer,
         progress: Progress,
-        taken: SlotTaken,
+        allocated: SlotTaken,
         hedge: Hedge,
     ) -> Ending | None:
-        """One attempt; None if another target may be tried."""
-        target = taken.candidate
-        taken_at = now_s()
+        """Sends one attempt; None if another target may be tried."""
+        target = allocated.candidate
+        allocated_at = now_s()
         progress.excluded.add(target.id)
         progress.target_id = target.id
         passing = Passing(
@@ -320,13 +333,13 @@
             weights_version=0,
         )
         self._log.sent(job, progress, target)
-        self._suspects.sending(job, progress)
+        self._suspects.record_dispatch(job, progress)
         place = Place(target.id, target.address)
         progress.runs += 1
         progress.sent += 1
         self._silence.sent(target.id)
         try:
-            async with attempt(
+            async with open_attempt(
                 self._wire,
                 self._connections,
                 place,
@@ -334,59 +347,61 @@
                 passing,
                 lambda: self._silence.heard(target.id),
                 lambda connect_s: self._why_not_send(
-                    job, progress, target, taken_at, connect_s, hedge
+                    job, progress, target, allocated_at, connect_s, hedge
                 ),
-                anew=hedge.is_second,
-            ) as made:
-                hedge.attempt = made
-                sending = Sending(
+                new_connection=hedge.is_second,
+            ) as opened:
+                hedge.attempt = opened
+                dispatch = Dispatch(
                     job,
                     answer,
                     progress,
                     target,
-                    taken.slot,
-                    made,
+                    allocated.slot,
+                    opened,
                     hedge,
-                    taken_at,
+                    allocated_at,
                 )
-                with self._running.watched(sending):
-                    outcome = await self._run(sending)
-                progress.connect_s = made.connect_s
+                with self._running.registered(dispatch):
+                    outcome = await self._run_attempt(dispatch)
+                progress.connect_s = opened.connect_s
         except asyncio.CancelledError:
-            if not made.is_sent:
-                self._note_unsent(progress)
+            if not opened.is_sent:
+                self._undo_attempt(progress)
             raise
         finally:
-            taken.slot.give_back()
+            allocated.slot.give_back()
             self._silence.ended(target.id)
             self._queue.serve()
         if isinstance(outcome, NotRun):
             progress.runs -= 1
         if isinstance(outcome, Lost):
-            connecting_at = taken_at if progress.connect_s is not None else None
-            await self._suspects.lost(
+            connecting_at = (
+                allocated_at if progress.connect_s is not None else None
+            )
+            await self._suspects.record_loss(
                 job, progress, target, outcome, connecting_at
             )
-        return self._judge(job, progress, target, outcome)
+        return self._evaluate(job, progress, target, outcome)
 
-    async def _run(
-        self, sending: Sending
+    async def _run_attempt(
+        self, dispatch: Dispatch
     ) -> "NotSent | NotRun | Lost | Ending":
         sent_at = now_s()
-        with self._delays.timed(sending.target.id) as answered:
-            begun = await sending.made.begin()
+        with self._delays.timed(dispatch.target.id) as answered:
+            begun = await dispatch.attempt.begin()
             if not isinstance(begun, NotSent | Lost):
                 answered()
-                self._note_facts(sending.target, begun.facts, sent_at)
+                self._record_facts(dispatch.target, begun.facts, sent_at)
         if not isinstance(begun, Answered):
             return begun
-        if sending.hedge.stands_beside:
-            why_not = why_not_instead(sending, begun)
+        if dispatch.hedge.has_open_primary:
+            why_not = why_not_substitute(dispatch, begun)
             if why_not is not None:
                 return Lost(why_not)
-        return await self._relay.give(sending, begun)
+        return await self._relay.relay(dispatch, begun)
 
-    def _judge(
+    def _evaluate(
         self,
         job: Job,
         progress: Progress,
@@ -395,95 +410,99 @@
     ) -> Ending | None:
         match outcome:
             case NotSent(reason=reason, unreachable=unreachable):
-                self._note_unsent(progress)
+                self._undo_attempt(progress)
                 progress.refused += outcome.at_once
                 progress.unsent += not outcome.at_once
-                progress.last = outcome
+                progress.last_failure = outcome
                 if unreachable:
                     self._outliers.failed(target.id, certain=True)
             case NotRun(status=status, facts=facts):
-                progress.last = outcome
+                progress.last_failure = outcome
                 reason = f"not_run_{status}"
                 progress.uncounted += facts.misdirected
-                if facts.misdirected and self._is_surprise(job, target):
+                if facts.misdirected and self._is_unexpected_refusal(
+                    job, target
+                ):
                     self._outliers.failed(target.id, certain=True)
-                    self._doubt(target.target_id)
+                    self._on_replaced(target.target_id)
             case Lost(reason=reason):
-                progress.last = outcome
+                progress.last_failure = outcome
                 self._outliers.failed(target.id)
             case _:
                 self._outliers.succeeded(target.id)
-                if isinstance(outcome, Gave) and outcome.is_failure:
+                if isinstance(outcome, Delivered) and outcome.is_failure:
                     reason = f"status_{outcome.status}"
                     self._log.failed(job, progress, target, reason)
-                elif isinstance(outcome, Gave):
-                    self._suspects.answered(job, progress)
+                elif isinstance(outcome, Delivered):
+                    self._suspects.record_answer(job, progress)
                 return outcome
         self._log.failed(job, progress, target, reason)
         metrics.RETRIES.labels(reason.partition(":")[0]).inc()
         if isinstance(outcome, Lost) and not job.is_repeatable:
-            return given_up("lost", progress)
+            return failed_ending("lost", progress)
         return None
 
-    def _note_unsent(self, progress: Progress) -> None:
-        """Takes back what was noted of an attempt that has sent nothing."""
+    def _undo_attempt(self, progress: Progress) -> None:
+        """Reverts the counters of an attempt that sent no byte."""
         progress.runs -= 1
         progress.sent -= 1
         if progress.sent:
             self._retry_window.give_back()
 
-    # --- Small questions -----------------------------------------------------
+    # --- Decisions and records of one attempt --------------------------------
 
     def _why_not_send(
         self,
         job: Job,
         progress: Progress,
         target: Candidate,
-        taken_at: float,
+        allocated_at: float,
         connect_s: float,
         hedge: Hedge,
     ) -> str | None:
-        """Why a request must not go to a target after all; None if it may."""
+        """Why a request must not be sent after connecting; None if it may."""
         if self._suspects.quarantined_s(job, progress):
             return QUARANTINED
         if not self._back_pressure.may_be_sent(target.id):
-            return _LEFT_ALONE
-        if not self._limits.may_still_be_sent(target.id, taken_at):
+            return _BACK_OFF
+        if not self._limits.may_still_be_sent(target.id, allocated_at):
             return _RATE_LIMITED
         if not self._services.may_begin(
             job.service, job.call.model, target.id, connect_s
         ):
             return _TOO_LATE
         if self._suspects.is_suspect(job, progress):
-            # Copies of what crashes targets never run beside each other.
-            hedge.takes_over()
+            # Copies of a suspect request must never run concurrently.
+            hedge.take_over()
         return None
 
-    def _is_surprise(self, job: Job, target: Candidate) -> bool:
-        """Whether a target said to be another one, and not to lack weights.
+    def _is_unexpected_refusal(self, job: Job, target: Candidate) -> bool:
+        """Whether a misdirected request reveals a different target.
 
-        Both are told in the same way.
+        A target that lacks the weights refuses a request in the same way, so
+        only one that should hold them counts.
         """
-        return self._services.should_hold(
+        return self._services.is_expected_to_hold(
             job.service, job.call.model, target.id
         )
 
-    def _note_first(self, sending: Sending, took_s: float) -> None:
-        """Takes how long a target needed to begin its answer."""
-        job = sending.job
+    def _record_first_output(self, dispatch: Dispatch, took_s: float) -> None:
+        """Records how long a target took to begin its answer."""
+        job = dispatch.job
         self._queue.first_answered(job.service, took_s)
         if job.call.prompt_tokens:
-            goal_s = job.route.latency_goal_ms / 1000
-            self._placer.first_answered(took_s, goal_s)
+            objective_s = job.route.latency_goal_ms / 1000
+            self._placer.first_answered(took_s, objective_s)
 
-    def _note_facts(
+    def _record_facts(
         self, target: Candidate, facts: AnswerFacts, sent_at: float
     ) -> None:
-        """Takes what a target says of itself in the head of an answer."""
-        # That a limit has ended needs the word of the target itself, not of
-        # whoever refused a request at its address.
-        tells_limit = facts.sealed or isinstance(facts.limit, Named)
-        if tells_limit and not facts.misdirected:
+        """Records what a target reports in the head of an answer."""
+        # An answer without a rate limit lifts it only if the target itself
+        # sealed that answer: a refusal at its address may come from another
+        # process.
+        is_limit_known = facts.sealed or isinstance(facts.limit, Named)
+        if is_limit_known and not facts.misdirected:
             self._limits.answered(target.id, facts.limit, sent_at)
         if facts.leaving:
             self._back_pressure.leaving(target.id)
--- a/damaskcroft/forwarding/_gate.py
+++ b/damaskcroft/forwarding/_gate.py
@@ -1,4 +1,9 @@
-"""From a caller's request to a job, or to a refusal at once."""
+"""Admission of callers' requests at an entry.
+
+Each request becomes a job for the forwarder or is refused at once: when it is
+malformed, no configuration is known, no route or key matches, or the entry is
+about to stop.
+"""
 
 import asyncio
 import dataclasses
@@ -12,8 +17,8 @@
 from damaskcroft.forwarding._forwarder import Forwarder
 from damaskcroft.forwarding._job import (
     DEADLINE,
-    BrokenOff,
-    Gave,
+    Delivered,
+    Interrupted,
     Job,
     Ran,
     Refused,
@@ -31,23 +36,24 @@
 __all__ = ["EntryGate"]
 
 _MS = 1000  # In a second.
-# After it was told to end, an entry takes for this long what there is time for
-# by others of its route: the balancer needs two of its questions, a second
-# apart, to send none. Where all entries end at once it goes on sending,
-# and what could be cut by its own time is refused.
-_STILL_TAKEN_S = 2.5
-# A request may take so much longer than others of its route, on a machine that
-# has grown busier.
-_SLOWER_S = 0.3
-# For so long after its first request an entry may be about to hear of
-# configuration and targets: after a loss of power control elects a leader and
-# targets announce themselves within two seconds. Later it has been cut off, and
-# another entry may serve whom this one refuses.
-_FIRST_VIEW_S = 3.0
-# Share of its time that a request waits for that: a caller told to come back
-# does so within a third of what it has left, and must then still be served.
+# Time after the stop signal during which an entry still admits requests that
+# should finish in time, judged by recent answers of their route: the load
+# balancer needs two health checks, one second apart, to stop sending. Where all
+# entries stop at once it continues to send, so later a request is refused if
+# its own timeout exceeds the remaining time.
+_STILL_ADMITTED_S = 2.5
+# Allowance for a request that takes longer than recent ones of its route, where
+# the load of the machine has increased.
+_DURATION_MARGIN_S = 0.3
+# Time after its first request within which an entry is expected to receive the
+# configuration and the targets: after a power loss, control elects a leader and
+# targets announce themselves within two seconds. An entry that has received
+# none by then is cut off, and another entry may serve the callers it refuses.
+_FIRST_VIEW_TIMEOUT_S = 3.0
+# Share of its deadline that a request waits for them: a refused caller retries
+# within a third of its remaining time, and must then still be served.
 _FIRST_VIEW_SHARE = 0.33
-_LOOK_EVERY_S = 0.02
+_POLL_INTERVAL_S = 0.02
 _STATUS_BY_REASON = {
     "malformed": 400,
     "no_configuration": 503,
@@ -60,28 +66,28 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Stop:
-    """When an entry was told to end, and when it gives its last answers."""
+class _Shutdown:
+    """Times of the stop signal and of the last answers of an entry."""
 
     since: float
     last_answers_at: float
 
-    def comes_before(self, timeout_s: float, usual_s: float) -> bool:
-        """Whether a request that comes now may miss the last answers.
+    def may_miss(self, timeout_s: float, recent_s: float) -> bool:
+        """Whether a request that arrives now may not finish in time.
 
         Args:
-            timeout_s: when it will be over in any case.
-            usual_s: what the longest like it have taken.
+            timeout_s: timeout of the request.
+            recent_s: longest recent answer of its route.
         """
         now = now_s()
         needed_s = timeout_s
-        if now - self.since < _STILL_TAKEN_S:
-            needed_s = min(timeout_s, usual_s + _SLOWER_S)
+        if now - self.since < _STILL_ADMITTED_S:
+            needed_s = min(timeout_s, recent_s + _DURATION_MARGIN_S)
         return now + needed_s > self.last_answers_at
 
 
 class EntryGate(CallerHandler):
-    """Answers callers at one entry."""
+    """Handler of all callers' requests at one entry."""
 
     def __init__(
         self,
@@ -90,36 +96,43 @@
         forwarder: Forwarder,
         rng: random.Random | None = None,
     ):
-        """Looks requests up in `view` and hands them to `forwarder`."""
+        """Sets up the gate.
+
+        Args:
+            wire: encoding of headers.
+            view: configuration and targets that are known to the entry.
+            forwarder: receives admitted jobs.
+            rng: source of randomness for traffic shares and Retry-After.
+        """
         self._wire = wire
         self._view = view
         self._forwarder = forwarder
         self._rng = rng or random.Random()
         self._has_had_view = False
-        # When a request first found nothing that it could be sent by.
-        self._view_wanted_since: float | None = None
+        # When a request first found no configuration or no targets.
+        self._view_missing_since: float | None = None
         self._limits = CallerLimits()
         self._limits_version = 0
         self._answer_times = AnswerTimes()
-        self._stop: _Stop | None = None
+        self._shutdown: _Shutdown | None = None
 
     def is_stopping(self) -> bool:
-        """See CallerHandler."""
-        return self._stop is not None
+        """Whether the entry has been told to stop."""
+        return self._shutdown is not None
 
     def stop(self, within_s: float) -> None:
-        """Takes note that this entry ends soon.
+        """Starts to stop the entry.
 
         Args:
-            within_s: until each request gets its final answer, whatever has
-                become of it.
+            within_s: time until every running request gets its final answer,
+                whether or not its target has answered.
         """
         now = now_s()
-        self._stop = _Stop(now, now + within_s)
-        self._forwarder.end_by(self._stop.last_answers_at)
+        self._shutdown = _Shutdown(now, now + within_s)
+        self._forwarder.end_by(self._shutdown.last_answers_at)
 
     def limits(self) -> CallerLimits:
-        """See CallerHandler."""
+        """Limits for callers in the configuration in force."""
         table = self._view.table
         if table is not None and self._limits_version != table.version:
             self._limits = _limits_of(table.limits)
@@ -127,58 +140,58 @@
         return self._limits
 
     def refused(self, status: int, reason: str) -> Headers:
-        """See CallerHandler."""
+        """Logs a request that was refused before it was read."""
         metrics.REFUSALS.labels(reason, Ran.NO.value).inc()
         log_event("refused_unread", status=status, reason=reason)
         return []
 
     async def handle(self, request: CallerRequest, answer: Answer) -> None:
-        """See CallerHandler."""
+        """Answers a caller's request from a target, or refuses it."""
         call = self._wire.call(request)
         if call is None:
             await self._refuse("", Refused("malformed", Ran.NO), answer)
             return
         await self._wait_for_first_view(call)
-        made = self._job(call)
-        if isinstance(made, Refused):
-            await self._refuse(call.request_id, made, answer)
+        admitted = self._admit(call)
+        if isinstance(admitted, Refused):
+            await self._refuse(call.request_id, admitted, answer)
             return
         try:
-            ending = await self._forwarder.forward(made, answer)
+            ending = await self._forwarder.forward(admitted, answer)
         except asyncio.CancelledError:
             if answer.caller_has_ended:
                 metrics.REFUSALS.labels("caller_left", Ran.MAYBE.value).inc()
             raise
         match ending:
-            case Gave():
+            case Delivered():
                 took_s = now_s() - call.arrived_at
-                self._answer_times.took(made.route.name, took_s)
-                metrics.ANSWERS.labels(made.service).inc()
-            case BrokenOff(reason=reason):
+                self._answer_times.record(admitted.route.name, took_s)
+                metrics.ANSWERS.labels(admitted.service).inc()
+            case Interrupted(reason=reason):
                 metrics.REFUSALS.labels(reason, Ran.MAYBE.value).inc()
             case Refused():
-                await self._refuse(call.request_id, ending, answer, made)
+                await self._refuse(call.request_id, ending, answer, admitted)
 
     async def _wait_for_first_view(self, call: Call) -> None:
-        """Lets a request wait for what an entry hears right after its start.
+        """Waits for the first configuration and targets after a start.
 
-        Where all entries start at once, as after a loss of power, callers that
-        were refused would meet another entry that knows no more.
+        Where all entries start at once, as after a power loss, refused callers
+        would only reach another entry that has not received them either.
         """
         if self._has_had_view:
             return
-        if self._view_wanted_since is None:
-            self._view_wanted_since = now_s()
+        if self._view_missing_since is None:
+            self._view_missing_since = now_s()
         began_at = now_s()
-        until = self._view_wanted_since + _FIRST_VIEW_S
+        until = self._view_missing_since + _FIRST_VIEW_TIMEOUT_S
         if call.deadline_s is not None:
             share_s = call.deadline_s * _FIRST_VIEW_SHARE
             until = min(until, call.arrived_at + share_s)
         while not self._has_view() and now_s() < until:
-            await asyncio.sleep(_LOOK_EVERY_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
         self._has_had_view = self._has_view()
         waited_s = now_s() - began_at
-        if waited_s >= _LOOK_EVERY_S:
+        if waited_s >= _POLL_INTERVAL_S:
             log_event(
                 "waited_for_view",
                 request=call.request_id,
@@ -190,7 +203,7 @@
         has_targets = next(iter(self._view.book.believed()), None) is not None
         return self._view.table is not None and has_targets
 
-    def _job(self, call: Call) -> Job | Refused:
+    def _admit(self, call: Call) -> Job | Refused:
         table = self._view.table
         if table is None:
             return Refused("no_configuration", Ran.NO)
@@ -207,12 +220,12 @@
         timeout_s = route.timeout_ms / _MS
         if call.deadline_s is not None:
             timeout_s = min(timeout_s, call.deadline_s)
-        usual_s = self._answer_times.longest_s(route.name, timeout_s)
-        if self._stop and self._stop.comes_before(timeout_s, usual_s):
+        recent_s = self._answer_times.longest_s(route.name, timeout_s)
+        if self._shutdown and self._shutdown.may_miss(timeout_s, recent_s):
             return Refused("stopping", Ran.NO)
         deadline_at = call.arrived_at + timeout_s
-        if self._stop is not None:
-            deadline_at = min(deadline_at, self._stop.last_answers_at)
+        if self._shutdown is not None:
+            deadline_at = min(deadline_at, self._shutdown.last_answers_at)
         return Job(
             call=call,
             route=route,
@@ -240,7 +253,7 @@
         status = _status(refused)
         wait_s = None
         if status == _NOT_RUN_STATUS:
-            wait_s = refused.returns_s
+            wait_s = refused.retry_after_s
             if wait_s is None:
                 wait_s = return_after_s(refused.foreseen_s, self._rng)
         metrics.REFUSALS.labels(refused.reason, refused.ran.value).inc()
@@ -279,10 +292,11 @@
 
 
 def _limits_of(limits: fleet_pb2.CallerLimits) -> CallerLimits:
-    usual = CallerLimits()
+    defaults = CallerLimits()
     return CallerLimits(
-        head_bytes=limits.max_header_bytes or usual.head_bytes,
-        body_bytes=limits.max_body_bytes or usual.body_bytes,
-        head_timeout_s=limits.header_timeout_ms / _MS or usual.head_timeout_s,
-        idle_timeout_s=limits.idle_timeout_ms / _MS or usual.idle_timeout_s,
+        head_bytes=limits.max_header_bytes or defaults.head_bytes,
+        body_bytes=limits.max_body_bytes or defaults.body_bytes,
+        head_timeout_s=limits.header_timeout_ms / _MS
+        or defaults.head_timeout_s,
+        idle_timeout_s=limits.idle_timeout_ms / _MS or defaults.idle_timeout_s,
     )
--- a/damaskcroft/forwarding/_hedge.py
+++ b/damaskcroft/forwarding/_hedge.py
@@ -1,7 +1,7 @@
-"""A second attempt beside one whose target is silent.
+"""Hedged requests: a second attempt while the first one's target is silent.
 
-A silent target may be dead, or pause and then go on. Its attempt is ended only
-once another one has something for the caller: hedged requests (J. Dean and
+A silent target may be dead, or may pause and then continue. Its attempt is
+ended only when another attempt has output for the caller (J. Dean and
 L. A. Barroso, "The Tail at Scale", CACM 56(2), 2013).
 """
 
@@ -16,89 +16,89 @@
 
 __all__ = ["Hedge", "hedged"]
 
-# Why an attempt was ended for another one.
+# Reason for ending an attempt in favour of a hedged one.
 _SILENT = "silent"
 
 
 class Hedge:
-    """An attempt, and a second one beside it.
+    """An attempt and the hedged attempt that may run concurrently.
 
     Attributes:
-        attempt: the one that may have a second beside it; None before it is
-            made.
+        attempt: the attempt that may be hedged; None before it is opened.
     """
 
-    __slots__ = ("_instead_of", "_is_awaited", "_second", "attempt")
+    __slots__ = ("_primary", "_is_awaited", "_second", "attempt")
 
-    def __init__(self, instead_of: "Hedge | None" = None):
-        """Has no second attempt yet.
+    def __init__(self, primary: "Hedge | None" = None):
+        """Starts without a hedged attempt.
 
         Args:
-            instead_of: where the attempt is itself a second one.
+            primary: hedge of the silent attempt, where this attempt is
+                itself a hedged one.
         """
         self.attempt: Attempt | None = None
-        self._instead_of = instead_of
+        self._primary = primary
         self._second: asyncio.Task[Ending | None] | None = None
         self._is_awaited = False
 
     @property
     def is_second(self) -> bool:
-        """Whether the attempt was made beside another one."""
-        return self._instead_of is not None
+        """Whether this attempt is itself a hedged one."""
+        return self._primary is not None
 
     @property
-    def stands_beside(self) -> bool:
-        """Whether another attempt that it was made beside is under way."""
-        return any(outer.is_open for outer in self._outer_attempts())
+    def has_open_primary(self) -> bool:
+        """Whether an attempt that this one hedges is still running."""
+        return any(earlier.is_open for earlier in self._primary_attempts())
 
     @property
     def is_running(self) -> bool:
-        """Whether a second attempt is under way."""
+        """Whether a hedged attempt is running."""
         return self._second is not None and not self._second.done()
 
     @property
     def may_begin(self) -> bool:
-        """Whether the attempt waits for its target, without a second."""
+        """Whether the attempt waits for its target and is not hedged yet."""
         if self.attempt is None or not self.attempt.is_waiting:
             return False
         return not self.is_running
 
     def begin(
-        self, trial: Coroutine[Any, Any, Ending | None]
+        self, hedged_attempt: Coroutine[Any, Any, Ending | None]
     ) -> asyncio.Task[Ending | None]:
-        """Starts the second attempt."""
+        """Starts the hedged attempt."""
         self._is_awaited = False
-        self._second = asyncio.create_task(trial)
-        self._second.add_done_callback(self._tell)
+        self._second = asyncio.create_task(hedged_attempt)
+        self._second.add_done_callback(self._log_failure)
         return self._second
 
-    def takes_over(self) -> None:
-        """The attempt is about to answer the caller: others are ended."""
+    def take_over(self) -> None:
+        """Ends the other attempts, because this one answers the caller."""
         self.close()
-        for outer in self._outer_attempts():
-            outer.give_up(_SILENT)
+        for earlier in self._primary_attempts():
+            earlier.abort(_SILENT)
 
     async def ending(self) -> Ending | None:
-        """How the second attempt ends; None if there is none to wait for."""
+        """Waits for the hedged attempt; None if there is none."""
         if self._second is None or self._second.cancelling():
             return None
         self._is_awaited = True
         return await self._second
 
     def close(self) -> None:
-        """Ends the second attempt, if it is still under way."""
+        """Cancels the hedged attempt if it is still running."""
         if self._second is not None:
             self._second.cancel()
 
-    def _outer_attempts(self) -> Iterator[Attempt]:
-        outer = self._instead_of
-        while outer is not None:
-            if outer.attempt is not None:
-                yield outer.attempt
-            outer = outer._instead_of
+    def _primary_attempts(self) -> Iterator[Attempt]:
+        earlier = self._primary
+        while earlier is not None:
+            if earlier.attempt is not None:
+                yield earlier.attempt
+            earlier = earlier._primary
 
-    def _tell(self, second: asyncio.Task[Ending | None]) -> None:
-        """Logs a fault of a second attempt that nobody waited for."""
+    def _log_failure(self, second: asyncio.Task[Ending | None]) -> None:
+        """Logs an exception of a hedged attempt that nothing awaited."""
         if second.cancelled() or self._is_awaited:
             return
         error = second.exception()
@@ -107,9 +107,9 @@
 
 
 @contextlib.contextmanager
-def hedged(instead_of: Hedge | None) -> Iterator[Hedge]:
-    """A hedge whose second attempt ends with the block."""
-    hedge = Hedge(instead_of)
+def hedged(primary: Hedge | None) -> Iterator[Hedge]:
+    """Yields a hedge whose second attempt is cancelled after the block."""
+    hedge = Hedge(primary)
     try:
         yield hedge
     finally:
--- a/damaskcroft/forwarding/_job.py
+++ b/damaskcroft/forwarding/_job.py
@@ -1,4 +1,4 @@
-"""What is to be sent to a target, how far it has come, and how it ends."""
+"""Jobs, which are admitted requests, with their progress and endings."""
 
 import dataclasses
 import enum
@@ -12,31 +12,31 @@
 __all__ = [
     "DEADLINE",
     "SERVER_ERROR",
-    "BrokenOff",
+    "Delivered",
     "EndedBy",
     "Ending",
-    "Gave",
+    "Interrupted",
     "Job",
     "Pace",
     "Progress",
     "Ran",
     "Refused",
-    "broken_off",
-    "given_up",
+    "failed_ending",
+    "interrupted_ending",
 ]
 
 
-# The request's time is over.
+# Reason of a request whose deadline has passed.
 DEADLINE = "deadline"
-# So many attempts of a request don't use up those of its route; its share of
-# the retry budget bounds them too.
+# Maximum number of attempts that don't count towards the route's maximum; the
+# retry budget bounds them as well.
 _MAX_UNCOUNTED = 2
-# HTTP statuses from here on are failures of whoever answers (RFC 9110).
+# HTTP statuses from here on are server errors (RFC 9110).
 SERVER_ERROR = 500
 
 
 class Ran(enum.Enum):
-    """Whether a request that got no answer may have run."""
+    """Whether an unanswered request may have run."""
 
     NO = "no"
     MAYBE = "maybe"
@@ -44,38 +44,37 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """The request ends with an answer of our own.
+    """The request ends with an answer that the entry itself gives.
 
     Attributes:
         reason: a fixed word, also a counter's label.
         ran: whether it may have run at a target.
-        detail: what decided it, for the log.
-        foreseen_s: when there should be room for it; 0 if unknown.
-        returns_s: when it is worth coming back, where that is known; None to
-            tell by `foreseen_s`.
+        detail: the cause in more detail, for the log.
+        foreseen_s: predicted time until a slot is free; 0 if unknown.
+        retry_after_s: known Retry-After; None to derive it from `foreseen_s`.
     """
 
     reason: str
     ran: Ran
     detail: str = ""
     foreseen_s: float = 0.0
-    returns_s: float | None = None
+    retry_after_s: float | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Gave:
-    """A target's answer went to the caller, whole."""
+class Delivered:
+    """The caller has received a target's complete answer."""
 
     status: int
 
     @property
     def is_failure(self) -> bool:
-        """Whether the answer says that the target failed."""
+        """Whether the status is a server error of the target."""
         return self.status >= SERVER_ERROR
 
 
 class EndedBy(enum.Enum):
-    """Who ended a caller's connection before its answer was whole."""
+    """Who ended a caller's connection before its answer was complete."""
 
     CALLER = "caller"
     TARGET = "target"
@@ -83,33 +82,33 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BrokenOff:
-    """A target's answer had begun and could not be finished.
+class Interrupted:
+    """A target's answer had begun and could not be completed.
 
     Attributes:
-        reason: a fixed word, or what the target's connection told.
-        ended_by: whether it was the target or this entry.
+        reason: a fixed word, or the error of the target's connection.
+        ended_by: the target or this entry.
     """
 
     reason: str
     ended_by: EndedBy
 
 
-Ending = Gave | Refused | BrokenOff
+Ending = Delivered | Refused | Interrupted
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """A call with all that was decided before it is sent.
+    """An admitted request with the decisions made before it is sent.
 
     Attributes:
         call: the caller's request.
         route: its route.
-        service: which of the route's services takes it.
-        customer: whose it is; empty on public routes.
+        service: the service chosen from the route's shares.
+        customer: customer of the request; empty on public routes.
         priority: 0 is the most urgent.
         deadline_at: loop time at which it gets its final answer.
-        configuration: version that all this was decided by.
+        configuration: version of the configuration that was applied.
     """
 
     call: Call
@@ -121,7 +120,7 @@
     configuration: int
 
     def fingerprint(self) -> bytes:
-        """What it has in common with its copies; hashes the whole body."""
+        """Fingerprint shared by copies of the request; hashes the body."""
         call = self.call
         return fingerprint(
             self.customer, call.host, call.method, call.target, call.body
@@ -129,26 +128,27 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether the request may run more than once."""
         return self.route.idempotent or self.route.resumable
 
     def has_attempt_after(self, progress: "Progress") -> bool:
-        """Whether its route lets it be sent to one more target."""
+        """Whether its route allows another attempt."""
         uncounted = min(progress.uncounted, _MAX_UNCOUNTED)
         return progress.sent - uncounted < max(1, self.route.max_attempts)
 
     @property
     def left_s(self) -> float:
-        """How long it may still take; below 0 when its time is over."""
+        """Time until the deadline; negative after it."""
         return self.deadline_at - now_s()
 
 
 class Pace:
-    """How soon and how evenly a caller gets its answer.
+    """Latency of an answer and the gaps between its events.
 
     Attributes:
         queued_s: wait for a target's slot.
-        first_s: arrival of the request to the first event; None before it.
+        first_s: time from arrival of the request to the first event; None
+            before that event.
         longest_gap_s: longest pause between two events.
     """
 
@@ -156,54 +156,65 @@
                  "queued_s")  # fmt: skip
 
     def __init__(self, arrived_at: float):
-        """Nothing has been given yet."""
+        """Starts before the first output.
+
+        Args:
+            arrived_at: loop time at which the request was read.
+        """
         self._arrived_at = arrived_at
         self._last_at = arrived_at
         self.queued_s = 0.0
         self.first_s: float | None = None
         self.longest_gap_s = 0.0
 
-    def given(self, now: float) -> None:
-        """Takes note of an event, or of a whole answer."""
+    def record_output(self, now: float) -> None:
+        """Records the output of an event, or of a complete answer."""
         if self.first_s is None:
             self.first_s = now - self._arrived_at
         else:
             self.longest_gap_s = max(self.longest_gap_s, now - self._last_at)
         self._last_at = now
 
-    def is_late(self, route: fleet_pb2.Route) -> bool:
-        """Whether the caller's goals were missed; an unset goal is met."""
-        goal_s = route.latency_goal_ms / 1000
-        gap_goal_s = route.gap_goal_ms / 1000
-        if goal_s and self.first_s is not None and self.first_s > goal_s:
+    def misses_objective(self, route: fleet_pb2.Route) -> bool:
+        """Whether a latency objective was missed; unset ones are met."""
+        objective_s = route.latency_goal_ms / 1000
+        gap_objective_s = route.gap_goal_ms / 1000
+        if (
+            objective_s
+            and self.first_s is not None
+            and self.first_s > objective_s
+        ):
             return True
-        return bool(gap_goal_s) and self.longest_gap_s > gap_goal_s
+        return bool(gap_objective_s) and self.longest_gap_s > gap_objective_s
 
 
 class Progress:
-    """What became of a job so far.
+    """State of a job across its attempts.
 
     Attributes:
-        sent: targets that it was sent to.
-        unsent: targets that it was not sent to, after some time.
-        refused: targets that refused its connection at once.
-        uncounted: attempts at targets that have ended since, or that said to
-            be another one or to lack the weights.
+        sent: number of targets that it was sent to.
+        unsent: number of targets to which connecting timed out, or that it
+            was withheld from after connecting.
+        refused: number of targets that refused its connection.
+        uncounted: number of attempts that don't count towards the route's
+            maximum: at targets that crashed, are another target than the
+            addressed one, or lack the weights.
         excluded: ids of targets that it was sent to; none of them is chosen
             again while another can serve it.
-        last: how the last attempt failed.
-        runs: targets that may have run it.
-        begun: whether the caller has got the head of an answer.
-        is_tied: whether only the target that has begun the answer can end it.
-        events: how many events of a stream the caller has got.
+        last_failure: how the last attempt failed.
+        runs: number of targets that may have run it.
+        begun: whether the caller has received the head of an answer.
+        is_bound_to_target: whether only the target that has begun the answer
+            can complete it.
+        events: number of events of a stream that the caller has received.
         target_id: the target that it was sent to last; empty before.
-        last_event_id: the last event that the caller has.
-        pace: how soon and how evenly the answer came.
-        connect_s: what connecting for the last attempt took; None where a
-            kept connection was used.
-        fingerprint: what it has in common with its copies, once it was asked
-            for; None before.
-        chain: how many crashes in a row were known of it when it was sent.
+        last_event_id: the last event that the caller has received.
+        pace: latency of the answer.
+        connect_s: duration of connecting for the last attempt; None where an
+            idle connection was reused.
+        fingerprint: fingerprint shared by copies of the request; None until
+            it is first computed.
+        chain: number of consecutive crashes known when it was sent.
     """
 
     __slots__ = (
@@ -213,8 +224,8 @@
         "events",
         "excluded",
         "fingerprint",
-        "is_tied",
-        "last",
+        "is_bound_to_target",
+        "last_failure",
         "last_event_id",
         "pace",
         "refused",
@@ -226,16 +237,20 @@
     )
 
     def __init__(self, call: Call):
-        """Nothing was tried yet."""
+        """Starts before the first attempt.
+
+        Args:
+            call: the caller's request.
+        """
         self.sent = 0
         self.unsent = 0
         self.refused = 0
         self.uncounted = 0
         self.excluded: set[str] = set()
-        self.last: NotSent | NotRun | Lost | None = None
+        self.last_failure: NotSent | NotRun | Lost | None = None
         self.runs = 0
         self.begun = False
-        self.is_tied = False
+        self.is_bound_to_target = False
         self.events = 0
         self.target_id = ""
         self.last_event_id = call.last_event_id
@@ -246,28 +261,32 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any target may have run it."""
+        """Whether any target may have run the request."""
         return self.runs > 0
 
 
-def given_up(
-    reason: str, progress: Progress, returns_s: float | None = None
+def failed_ending(
+    reason: str, progress: Progress, retry_after_s: float | None = None
 ) -> Ending:
-    """How a job ends that no target answered, or not to the end."""
+    """Ending of a job that no target has answered completely."""
     if progress.begun:
-        return BrokenOff(reason, _ended_by(reason, progress.last))
+        return Interrupted(reason, _ended_by(reason, progress.last_failure))
     ran = Ran.MAYBE if progress.may_have_run else Ran.NO
-    return Refused(reason, ran, str(progress.last), returns_s=returns_s)
+    return Refused(
+        reason, ran, str(progress.last_failure), retry_after_s=retry_after_s
+    )
 
 
-def broken_off(lost: Lost) -> BrokenOff:
-    """How a job ends whose answer can't be asked for again."""
-    return BrokenOff(lost.reason, _ended_by(lost.reason, lost))
+def interrupted_ending(lost: Lost) -> Interrupted:
+    """Ending of a job whose interrupted answer can't be resumed."""
+    return Interrupted(lost.reason, _ended_by(lost.reason, lost))
 
 
-def _ended_by(reason: str, last: NotSent | NotRun | Lost | None) -> EndedBy:
-    if reason == DEADLINE or last is None:
+def _ended_by(
+    reason: str, last_failure: NotSent | NotRun | Lost | None
+) -> EndedBy:
+    if reason == DEADLINE or last_failure is None:
         return EndedBy.ENTRY
-    if isinstance(last, Lost) and last.given_up:
+    if isinstance(last_failure, Lost) and last_failure.given_up:
         return EndedBy.ENTRY
     return EndedBy.TARGET
--- a/damaskcroft/forwarding/_relay.py
+++ b/damaskcroft/forwarding/_relay.py
@@ -1,4 +1,9 @@
-"""Gives a target's answer to the caller: whole, or event by event."""
+"""Relays a target's answer to the caller, whole or event by event.
+
+An answer of which the caller has received nothing can still be requested from
+another target when its connection is cut. A stream is resumed after the last
+event that the caller has received.
+"""
 
 import dataclasses
 from collections.abc import Callable
@@ -10,35 +15,35 @@
 from damaskcroft.forwarding._hedge import Hedge
 from damaskcroft.forwarding._job import (
     SERVER_ERROR,
+    Delivered,
     Ending,
-    Gave,
     Job,
     Progress,
-    broken_off,
+    interrupted_ending,
 )
 from damaskcroft.http1 import Answer, CutShortError, Head
 from damaskcroft.routing import Candidate, Slot
 
-__all__ = ["Relay", "Sending", "why_not_instead"]
+__all__ = ["Dispatch", "Relay", "why_not_substitute"]
 
-# Answers up to this size are read whole before the caller gets any of it, so
-# that one that is cut short can still be asked for elsewhere.
-_WHOLE_BYTES = 256 * 1024
+# Answers up to this size are read whole before any part of them is sent to the
+# caller, so that a truncated one can still be requested from another target.
+_MAX_BUFFERED_BYTES = 256 * 1024
 
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
-class Sending:
-    """A job on its way to one target.
+class Dispatch:
+    """One attempt of a job at one target.
 
     Attributes:
-        job: what is sent.
-        answer: where the caller's answer goes.
-        progress: what became of the job so far.
-        target: where it is sent.
-        slot: its place there.
-        made: the attempt.
-        hedge: what may be tried beside it.
-        sent_at: loop time at which it was sent.
+        job: the job that is sent.
+        answer: the answer to the caller.
+        progress: state of the job across its attempts.
+        target: the target that it is sent to.
+        slot: the slot that it holds at the target.
+        attempt: the request on its connection to the target.
+        hedge: state of a hedged attempt that may run concurrently.
+        sent_at: loop time at which its slot was taken.
     """
 
     job: Job
@@ -46,143 +51,147 @@
     progress: Progress
     target: Candidate
     slot: Slot
-    made: Attempt
+    attempt: Attempt
     hedge: Hedge
     sent_at: float
 
 
 class Relay:
-    """Passes answers on, so that a caller never gets half of two.
+    """Relays answers, so that a caller never receives parts of two of them.
 
     Args:
-        wire: how headers are written down.
-        room_made: called when a target has read a prompt, and so has room for
-            another one.
-        first_given: told of the first of an answer, and how many seconds its
-            target took.
+        wire: encoding of headers.
+        on_prompt_processed: called when a target has processed a prompt and
+            therefore has capacity for another one.
+        on_first_output: called with the first output of an answer and the
+            seconds that its target took to produce it.
     """
 
     def __init__(
         self,
         wire: Wire,
-        room_made: Callable[[], None],
-        first_given: Callable[[Sending, float], None],
+        on_prompt_processed: Callable[[], None],
+        on_first_output: Callable[[Dispatch, float], None],
     ):
-        """See the class."""
+        """Stores the encoding and the callbacks."""
         self._wire = wire
-        self._first_given = first_given
-        self._room_made = room_made
+        self._on_first_output = on_first_output
+        self._on_prompt_processed = on_prompt_processed
 
-    async def give(
-        self, sending: Sending, answered: Answered
+    async def relay(
+        self, dispatch: Dispatch, answered: Answered
     ) -> "Lost | Ending":
-        """Gives one target's answer on; Lost if another may be asked."""
+        """Relays one target's answer; Lost if another target may be tried."""
         head = answered.head
-        streaming = sending.job.route.streaming
+        streaming = dispatch.job.route.streaming
         success = 200 <= head.status < 300
         if success and not answered.facts.sealed:
             return Lost("unsealed")
         if success and streaming:
-            return await self._give_events(sending, head)
-        self._note_given(sending)
-        if sending.progress.begun:
-            # The caller has another target's head already.
+            return await self._relay_events(dispatch, head)
+        self._record_output(dispatch)
+        if dispatch.progress.begun:
+            # The caller has already received the head of another target's
+            # answer.
             return Lost(f"status_{head.status}")
-        return await self._give_whole(sending, head)
+        return await self._relay_whole(dispatch, head)
 
-    async def _give_whole(
-        self, sending: Sending, head: Head
+    async def _relay_whole(
+        self, dispatch: Dispatch, head: Head
     ) -> "Lost | Ending":
-        answer, made = sending.answer, sending.made
+        answer, attempt = dispatch.answer, dispatch.attempt
         try:
-            body, complete = await made.read_whole(_WHOLE_BYTES)
+            body, complete = await attempt.read_whole(_MAX_BUFFERED_BYTES)
         except CutShortError as error:
-            return made.lost(f"cut_short: {error}")
-        if head.status >= SERVER_ERROR and _may_repeat(sending):
+            return attempt.lost(f"cut_short: {error}")
+        if head.status >= SERVER_ERROR and _may_retry(dispatch):
             return Lost(f"status_{head.status}")
-        sending.hedge.takes_over()
+        dispatch.hedge.take_over()
         headers = self._wire.answer_headers(head)
         if complete:
             await answer.give(head.status, headers, body)
-            return Gave(head.status)
-        sending.progress.begun = sending.progress.is_tied = True
+            return Delivered(head.status)
+        dispatch.progress.begun = dispatch.progress.is_bound_to_target = True
         await answer.begin(head.status, headers)
         await answer.part(body)
         try:
-            while part := await made.read_part():
+            while part := await attempt.read_part():
                 await answer.part(part)
         except CutShortError as error:
-            return broken_off(made.lost(f"cut_short: {error}"))
+            return interrupted_ending(attempt.lost(f"cut_short: {error}"))
         await answer.end()
-        return Gave(head.status)
+        return Delivered(head.status)
 
-    async def _give_events(self, sending: Sending, head: Head) -> "Lost | Gave":
-        """Gives whole events on as they come."""
-        answer, progress = sending.answer, sending.progress
+    async def _relay_events(
+        self, dispatch: Dispatch, head: Head
+    ) -> "Lost | Delivered":
+        """Relays each event as soon as it is complete."""
+        answer, progress = dispatch.answer, dispatch.progress
         splitter = EventSplitter()
         try:
-            while part := await sending.made.read_part():
+            while part := await dispatch.attempt.read_part():
                 for event in splitter.feed(part):
-                    if sending.made.given_up:
-                        return sending.made.lost("stream_cut")
-                    if _is_old(event.id, progress):
+                    if dispatch.attempt.abort_reason:
+                        return dispatch.attempt.lost("stream_cut")
+                    if _is_already_sent(event.id, progress):
                         continue
-                    await self._begin(sending, head)
-                    # Also while the caller reads slowly: it is as good as sent.
+                    await self._begin(dispatch, head)
+                    # Counted before the write completes: with a slow caller
+                    # the event is already in the buffer and will be sent.
                     if event.id is not None:
                         progress.last_event_id = event.id
                     progress.events += 1
                     await answer.part(event.data)
-                    self._note_given(sending)
+                    self._record_output(dispatch)
         except (CutShortError, ValueError) as error:
-            return sending.made.lost(f"stream_cut: {error}")
-        if splitter.rest:
+            return dispatch.attempt.lost(f"stream_cut: {error}")
+        if splitter.remainder:
             return Lost("stream_cut: ended within an event")
-        await self._begin(sending, head)
+        await self._begin(dispatch, head)
         await answer.end()
-        return Gave(head.status)
+        return Delivered(head.status)
 
-    async def _begin(self, sending: Sending, head: Head) -> None:
-        sending.hedge.takes_over()
-        if sending.progress.begun:
+    async def _begin(self, dispatch: Dispatch, head: Head) -> None:
+        dispatch.hedge.take_over()
+        if dispatch.progress.begun:
             return
-        sending.progress.begun = True
+        dispatch.progress.begun = True
         headers = self._wire.answer_headers(head)
-        await sending.answer.begin(head.status, headers)
+        await dispatch.answer.begin(head.status, headers)
 
-    def _note_given(self, sending: Sending) -> None:
-        if sending.progress.pace.first_s is None:
-            took_s = now_s() - sending.sent_at
-            self._first_given(sending, took_s)
-        if sending.slot.read():
-            self._room_made()
-        sending.progress.pace.given(now_s())
+    def _record_output(self, dispatch: Dispatch) -> None:
+        if dispatch.progress.pace.first_s is None:
+            took_s = now_s() - dispatch.sent_at
+            self._on_first_output(dispatch, took_s)
+        if dispatch.slot.read():
+            self._on_prompt_processed()
+        dispatch.progress.pace.record_output(now_s())
 
 
-def why_not_instead(sending: Sending, answered: Answered) -> str | None:
-    """Why an answer can't take the place of a silent target's; None if it may.
+def why_not_substitute(dispatch: Dispatch, answered: Answered) -> str | None:
+    """Why an answer can't replace a silent target's; None if it can.
 
-    The silent one may still give a better one.
+    The silent target may still produce a better answer.
     """
     status = answered.head.status
     if 200 <= status < 300:
         return None if answered.facts.sealed else "unsealed"
-    if status >= SERVER_ERROR or sending.progress.begun:
+    if status >= SERVER_ERROR or dispatch.progress.begun:
         return f"status_{status}"
     return None
 
 
-def _is_old(event_id: int | None, progress: Progress) -> bool:
+def _is_already_sent(event_id: int | None, progress: Progress) -> bool:
     if event_id is None or progress.last_event_id is None:
         return False
     return event_id <= progress.last_event_id
 
 
-def _may_repeat(sending: Sending) -> bool:
-    """Whether a failure may still be tried elsewhere."""
-    job = sending.job
+def _may_retry(dispatch: Dispatch) -> bool:
+    """Whether a failed attempt may be retried at another target."""
+    job = dispatch.job
     if not job.is_repeatable:
         return False
-    if sending.hedge.is_running:
+    if dispatch.hedge.is_running:
         return True
-    return job.has_attempt_after(sending.progress)
+    return job.has_attempt_after(dispatch.progress)
--- a/damaskcroft/forwarding/_request_log.py
+++ b/damaskcroft/forwarding/_request_log.py
@@ -1,4 +1,4 @@
-"""Lines and histograms of what becomes of a request at an entry."""
+"""Log lines and histograms of the requests at an entry."""
 
 from damaskcroft.clock import now_s
 from damaskcroft.forwarding._job import EndedBy, Job, Progress
@@ -18,14 +18,14 @@
 
 
 class RequestLog:
-    """Tells each step of a request, with what the entry knew at that moment.
+    """Logs each step of a request with the entry's view at that moment.
 
     Args:
-        services: which targets could run it.
-        placer: how full they are.
-        delays: how soon they answer.
-        silence: how long they have said nothing.
-        retry_window: how many attempts may follow.
+        services: targets that could run the request.
+        placer: load of the targets.
+        delays: response delays of the targets.
+        silence: how long targets have been silent.
+        retry_window: the retry budget.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         silence: SilenceWatch,
         retry_window: RetryWindow,
     ):
-        """See the class."""
+        """Stores the sources of the logged values."""
         self._silence = silence
         self._retry_window = retry_window
         self._services = services
@@ -44,11 +44,11 @@
         self._delays = delays
 
     def queued(self, wait: LongWait, reason: str) -> None:
-        """A request has waited in the queue for long.
+        """Logs a request that has waited in the queue for a long time.
 
         Args:
-            wait: which, and beside how many.
-            reason: what it waits for.
+            wait: the request, and how many are waiting.
+            reason: why it could not be sent yet.
         """
         ticket = wait.ticket
         now = now_s()
@@ -63,7 +63,7 @@
         )
 
     def sent(self, job: Job, progress: Progress, target: Candidate) -> None:
-        """A request is about to be sent to a target."""
+        """Logs a request that is about to be sent to a target."""
         log_event(
             "sent",
             request=job.call.request_id,
@@ -83,7 +83,7 @@
     def failed(
         self, job: Job, progress: Progress, target: Candidate, reason: str
     ) -> None:
-        """A target failed a request, also if the caller gets its failure."""
+        """Logs a failed attempt, also if the caller receives the failure."""
         log_event(
             "attempt_failed",
             request=job.call.request_id,
@@ -103,13 +103,13 @@
         ended_by: EndedBy,
         reason: str,
     ) -> None:
-        """The caller's connection ends before its answer is whole."""
+        """Logs a caller's connection that ended before a complete answer."""
         metrics.UNANSWERED.labels(
             ended_by.value, reason.partition(":")[0]
         ).inc()
-        left = ended_by is EndedBy.CALLER
+        is_by_caller = ended_by is EndedBy.CALLER
         log_event(
-            "caller_left" if left else "answer_broken_off",
+            "caller_left" if is_by_caller else "answer_broken_off",
             request=job.call.request_id,
             ended_by=ended_by.value,
             reason=reason,
@@ -134,7 +134,7 @@
         )
 
     def answered(self, job: Job, progress: Progress, status: int) -> None:
-        """A target's answer was given whole."""
+        """Logs an answer that the caller has received completely."""
         pace = progress.pace
         service = job.service
         metrics.ANSWER_QUEUED_S.labels(service).observe(pace.queued_s)
@@ -145,7 +145,7 @@
         whole_s = now_s() - job.call.arrived_at
         metrics.ANSWER_WHOLE_S.labels(service).observe(whole_s)
         log_event(
-            "answered_late" if pace.is_late(job.route) else "answered",
+            "answered_late" if pace.misses_objective(job.route) else "answered",
             request=job.call.request_id,
             status=status,
             service=service,
--- a/damaskcroft/forwarding/_running.py
+++ b/damaskcroft/forwarding/_running.py
@@ -1,96 +1,102 @@
-"""Attempts that are under way, and why some are ended before they are done."""
+"""Registry of running attempts.
+
+Selects the attempts to hedge because their target is silent, and ends those
+that can't succeed: at restarted targets, on outdated weights, or of
+quarantined requests.
+"""
 
 import contextlib
 from collections.abc import Collection, Iterator
 
-from damaskcroft.forwarding._relay import Sending
+from damaskcroft.forwarding._relay import Dispatch
 from damaskcroft.forwarding._services import Services
 from damaskcroft.forwarding._suspects import (
     QUARANTINED,
-    STARTED_AGAIN,
+    RESTARTED,
     Suspects,
 )
 
-__all__ = ["Running"]
+__all__ = ["RunningAttempts"]
 
 
-class Running:
-    """All attempts of one entry.
+class RunningAttempts:
+    """All running attempts of one entry.
 
     Args:
-        services: what has become of their targets.
-        suspects: which requests must not begin anywhere.
+        services: state of their targets.
+        suspects: quarantined requests, which must not begin at any target.
     """
 
-    __slots__ = ("_sendings", "_services", "_suspects")
+    __slots__ = ("_dispatches", "_services", "_suspects")
 
     def __init__(self, services: Services, suspects: Suspects):
-        """Nothing is under way yet."""
-        self._sendings: set[Sending] = set()
+        """Starts empty and subscribes to changes of suspicions."""
+        self._dispatches: set[Dispatch] = set()
         self._services = services
         self._suspects = suspects
-        suspects.listen(self._give_up_quarantined)
+        suspects.listen(self._abort_quarantined)
 
     @contextlib.contextmanager
-    def watched(self, sending: Sending) -> Iterator[None]:
-        """Lets the attempt be ended while the block runs."""
-        self._sendings.add(sending)
+    def registered(self, dispatch: Dispatch) -> Iterator[None]:
+        """Registers an attempt, so that it can be ended, during the block."""
+        self._dispatches.add(dispatch)
         try:
             yield
         finally:
-            self._sendings.discard(sending)
+            self._dispatches.discard(dispatch)
 
-    def to_hedge(self, silent_ids: Collection[str]) -> list[Sending]:
-        """Attempts that may have a second one beside them, and should.
+    def attempts_to_hedge(self, silent_ids: Collection[str]) -> list[Dispatch]:
+        """Attempts that should be hedged.
 
-        They are at silent targets, or at some that have started again: what
-        ran there is lost, unless its later start took it before that was known.
+        Their targets are silent or have restarted. What ran at a restarted
+        target is lost, unless the request was sent to the new start before
+        that start was known here.
         """
         return [
             running
-            for running in self._sendings
+            for running in self._dispatches
             if running.job.is_repeatable
-            and not running.progress.is_tied
+            and not running.progress.is_bound_to_target
             and running.hedge.may_begin
             and (
                 running.target.id in silent_ids
-                or self._services.has_started_again(running.target)
+                or self._services.has_restarted(running.target)
             )
         ]
 
-    def give_up_lost(self, silent_ids: Collection[str]) -> None:
-        """Ends attempts that may go on elsewhere and can't end well here.
+    def abort_lost(self, silent_ids: Collection[str]) -> None:
+        """Ends repeatable attempts that can't succeed at their target.
 
-        They end at targets whose weights are due to be gone before they begin,
-        and at those that have started again and are silent since.
+        These are attempts that have not begun at targets whose weights are
+        about to be replaced, and those at restarted targets that are silent.
 
         Args:
-            silent_ids: targets that have said nothing for long.
+            silent_ids: ids of the silent targets.
         """
         outdated_by_kind: dict[tuple[str, str], set[str]] = {}
-        for running in list(self._sendings):
+        for running in list(self._dispatches):
             if not running.job.is_repeatable:
                 continue
             if self._is_lost(running, silent_ids):
-                running.made.give_up(STARTED_AGAIN)
+                running.attempt.abort(RESTARTED)
                 continue
-            if running.made.begun:
+            if running.attempt.begun:
                 continue
             kind = (running.job.service, running.job.call.model)
             if kind not in outdated_by_kind:
                 outdated_by_kind[kind] = self._services.outdated_ids(*kind)
             if running.target.id in outdated_by_kind[kind]:
-                running.made.give_up("version_due")
+                running.attempt.abort("version_due")
 
-    def _is_lost(self, running: Sending, silent_ids: Collection[str]) -> bool:
+    def _is_lost(self, running: Dispatch, silent_ids: Collection[str]) -> bool:
         if running.target.id not in silent_ids or running.hedge.is_running:
             return False
-        return self._services.has_started_again(running.target)
+        return self._services.has_restarted(running.target)
 
-    def _give_up_quarantined(self) -> None:
-        """Takes back what a target has not begun and should not begin."""
-        for running in list(self._sendings):
-            if running.made.begun:
+    def _abort_quarantined(self) -> None:
+        """Ends attempts of quarantined requests that have not begun."""
+        for running in list(self._dispatches):
+            if running.attempt.begun:
                 continue
             if self._suspects.quarantined_s(running.job, running.progress):
-                running.made.give_up(QUARANTINED)
+                running.attempt.abort(QUARANTINED)
--- a/damaskcroft/forwarding/_services.py
+++ b/damaskcroft/forwarding/_services.py
@@ -1,4 +1,8 @@
-"""Targets by service, as this entry believes them to be now."""
+"""Targets of each service and the model weights that they can serve.
+
+Around a change of weights, no request may begin on the old version after a
+bound. This module decides which targets a request may still be sent to.
+"""
 
 from collections.abc import Callable
 
@@ -15,36 +19,40 @@
 
 __all__ = ["Services"]
 
-# Before the time by which every request must begin on a new version, requests
-# stop going to targets with an older one: they may wait there a little before
-# they begin.
+# Minimum margin before the time by which every request must begin on a new
+# version. Within it, no request is sent to a target with an older version,
+# because a request may wait there briefly before it begins.
 _VERSION_MARGIN_S = 0.6
-# A target whose answers are slow may stand behind a narrow link, over which
-# requests arrive late too: twice the delay of its answers, since a queue before
-# a link may double within that time, and the usual wait at the target.
-_DELAYS_KEPT_BACK = 2
+# A target whose answers are slow may be behind a narrow link, over which
+# requests are delayed too. The margin is twice the delay of its answers, since
+# a queue before a link may double within that time, plus the usual wait at the
+# target.
+_DELAY_FACTOR = 2
 _WAIT_AT_TARGET_S = 0.3
-# Where its agent tells that the link itself is narrow, the queue before it may
-# grow by a second at any moment, whatever answers took until then.
+# Where the agent reports a link delay of this length, the link is narrow: the
+# queue before it may grow by a second at any moment, however quick the answers
+# were until then.
 _NARROW_LINK_S = 0.25
 _NARROW_MARGIN_S = 2.0
-# A target refuses by itself what comes too late if the agent beside it says
-# that it sees to that. Without its word nothing holds a request back that is on
-# its way for longer than foreseen, so the target is left earlier: 1.3 s were
-# seen over a link of 0.91 Mbit/s, and as much may wait there again. No foreseen
-# margin is longer: such delays are those of a target that fails anyhow.
+# A target refuses late requests itself if its agent announces that it guards
+# the version. Without a guard nothing stops a request that takes longer to
+# arrive than predicted, so the target is left earlier: 1.3 s were observed over
+# a link of 0.91 Mbit/s, and the same time may be spent waiting there. This is
+# also the maximum of the predicted margin, because a target with longer delays
+# is failing anyway.
 _UNGUARDED_MARGIN_S = 3.0
-# So long before that time, requests that have not begun at such targets are
-# taken back: over a narrow link one may arrive a second after it was sent.
-_TAKE_BACK_S = 0.25
-# Slots of a target that doesn't say.
-_USUAL_SLOTS = 8
-# The profile of services that are no engines.
-_NO_ENGINE = fleet_pb2.EngineProfile()
+# Margin before that time at which requests that have not begun at outdated
+# targets are withdrawn: over a narrow link one may arrive a second after it was
+# sent.
+_WITHDRAWAL_MARGIN_S = 0.25
+# Slots of a target that does not report them.
+_DEFAULT_SLOTS = 8
+# Profile of services that are not engines.
+_EMPTY_PROFILE = fleet_pb2.EngineProfile()
 
 
 class Services:
-    """Answers which targets could run a request."""
+    """Index of the ready targets by service and weights."""
 
     def __init__(
         self,
@@ -53,14 +61,15 @@
         weights_s: float,
         answer_delay_s: Callable[[str], float] = lambda _: 0.0,
     ):
-        """Reads `view`.
+        """Sets up the index, which is filled from `view` when it is used.
 
         Args:
-            view: what the entry believes.
+            view: the entry's view of the fleet.
             region_by_domain: region of each failure domain.
-            weights_s: from a named version of weights until no request may
-                begin on an older one; 0 for no bound.
-            answer_delay_s: how soon a target answers, by its id.
+            weights_s: time from the announcement of a desired version of
+                weights until no request may begin on an older one; 0 for no
+                bound.
+            answer_delay_s: response delay of a target, by its id.
         """
         self._view = view
         self._answer_delay_s = answer_delay_s
@@ -78,15 +87,15 @@
 
     @property
     def configured_s_ago(self) -> float:
-        """Seconds since that was applied; infinite for none."""
+        """Seconds since the configuration was applied; infinite for none."""
         return self._view.configured_s_ago
 
     def candidates(self, service: str, model: str) -> list[Candidate]:
-        """Ready targets of a service that hold a model whole.
+        """Ready targets of a service that hold all layers of a model.
 
         Args:
-            service: its name.
-            model: what the request asks for; empty for plain services.
+            service: name of the service.
+            model: requested model; empty for services without models.
         """
         self._refresh()
         states = self._states_by_service.get(service, [])
@@ -95,7 +104,7 @@
         serving = [
             state
             for state in states
-            if self._serves(state, model, self._least_version(model, state))
+            if self._serves(state, model, self._min_version(model, state))
         ]
         staying = [s for s in serving if not self._is_switching(s)]
         return [self._candidate(state) for state in staying or serving]
@@ -106,9 +115,9 @@
         """Whether a request sent to a target now may still begin there.
 
         Args:
-            service: the target's.
-            model: what the request asks for; empty for plain services.
-            candidate_id: the target's start.
+            service: service of the target.
+            model: requested model; empty for services without models.
+            candidate_id: id of the target's start, one run of its process.
             connect_s: how long connecting to it has just taken.
         """
         if not model or not self._weights_s:
@@ -116,14 +125,14 @@
         state = self._state(service, candidate_id)
         if state is None:
             return False
-        least = self._least_version(model, state, connect_s)
-        return self._serves(state, model, least)
+        min_version = self._min_version(model, state, connect_s)
+        return self._serves(state, model, min_version)
 
-    def has_started_again(self, candidate: Candidate) -> bool:
+    def has_restarted(self, candidate: Candidate) -> bool:
         """Whether a later start of the target is known.
 
-        What ran at the earlier one is lost, also where its connections stay
-        open and silent.
+        Requests at the earlier start are lost, even where their connections
+        remain open and silent.
         """
         state = self._view.book.newest(candidate.target_id)
         if state is None or not state.born_ms:
@@ -131,14 +140,14 @@
         return start_id(state) != candidate.id != candidate.target_id
 
     def is_leaving(self, candidate: Candidate) -> bool:
-        """Whether a start has announced that it ends, or has so ended."""
+        """Whether a start has announced its end, or has ended after that."""
         return self._view.book.is_leaving(
             candidate.target_id, candidate.born_ms
         )
 
     def is_replaced(self, candidate: Candidate) -> bool:
-        """Whether another start answers at a start's address, or as it."""
-        if self.has_started_again(candidate):
+        """Whether another start has taken over the address or the id."""
+        if self.has_restarted(candidate):
             return True
         return any(
             start_id(state) != candidate.id
@@ -146,63 +155,65 @@
             if state.address == candidate.address
         )
 
-    def should_hold(self, service: str, model: str, candidate_id: str) -> bool:
-        """Whether a target is believed to hold a model whole right now.
+    def is_expected_to_hold(
+        self, service: str, model: str, candidate_id: str
+    ) -> bool:
+        """Whether a target should currently hold all layers of a model.
 
         Args:
-            service: the target's.
-            model: its name; empty for plain services, which need none.
-            candidate_id: the target's start.
+            service: service of the target.
+            model: requested model; empty for services without models.
+            candidate_id: id of the target's start.
         """
         state = self._state(service, candidate_id)
         if state is None or not model:
             return state is not None
         within_s = self.begins_within_s(service, model, candidate_id)
         if within_s is not None and within_s < _UNGUARDED_MARGIN_S:
-            # It may give up its weights at any moment.
+            # The target may unload its weights at any moment.
             return False
         return self._serves(state, model, 0) and not self._is_switching(state)
 
     def has_ready(self, service: str) -> bool:
-        """Whether a service has ready targets, whatever weights they hold."""
+        """Whether a service has ready targets, regardless of their weights."""
         self._refresh()
         return bool(self._states_by_service.get(service))
 
     def may_serve_soon(self, service: str, model: str) -> bool:
-        """Whether it may pay to wait for a target while none can serve.
+        """Whether waiting for a target is worthwhile while none can serve.
 
-        A staged version is loaded soon, and whoever holds an older
-        one is likely being brought a newer. Where nothing lies at any target,
-        as after a loss of power, a whole copy has to come first: that takes
-        longer than a request waits. An agent that has not been heard may
-        have anything.
+        A staged version is activated soon, and a target with an older version
+        is probably being updated. Where no target has any copy, as after a
+        power loss, a complete copy has to be transferred first, which takes
+        longer than a request waits. A target whose agent is unknown may have
+        any version.
 
         Args:
-            service: its name.
-            model: what the request asks for; empty for plain services.
+            service: name of the service.
+            model: requested model; empty for services without models.
         """
         self._refresh()
         states = self._states_by_service.get(service, [])
         if not model:
             return bool(states)
-        return any(self._may_have(state, model) for state in states)
+        return any(self._may_obtain(state, model) for state in states)
 
-    def _may_have(self, state: fleet_pb2.TargetState, model: str) -> bool:
+    def _may_obtain(self, state: fleet_pb2.TargetState, model: str) -> bool:
         agent = self._agents_by_target.get(state.address)
         if agent is None or agent.phase == fleet_pb2.AGENT_SWITCHING:
             return True
         return any(part.model == model for part in (agent.staged, *agent.held))
 
-    def _least_version(
+    def _min_version(
         self,
         model: str,
         state: fleet_pb2.TargetState,
         connect_s: float = 0.0,
     ) -> int:
-        """The oldest version that a request sent now may begin on.
+        """The oldest version on which a request sent now may begin.
 
-        Versions that the target's agent guards count as due by what is
-        foreseen of the way there, others at the latest that is known of any.
+        A version that the target's agent guards is required from the predicted
+        margin on, any other version from the longer margin without a guard.
         """
         if not self._weights_s:
             return 0
@@ -210,11 +221,11 @@
         guarded = 0
         if agent is not None:
             guarded = self._view.guarded_version(agent.address, model)
-        soon = self._view.due_version(
+        due_soon = self._view.due_version(
             model, self._weights_s - _UNGUARDED_MARGIN_S
         )
-        if soon > guarded:
-            return soon
+        if due_soon > guarded:
+            return due_soon
         margin_s = self._margin_s(state, agent, connect_s)
         return self._view.due_version(model, self._weights_s - margin_s)
 
@@ -224,10 +235,10 @@
         agent: fleet_pb2.AgentState | None,
         connect_s: float,
     ) -> float:
-        """From sending a request to its begin at a target, as foreseen."""
+        """Predicted time from sending a request until it begins."""
         link_s = agent.link_delay_ms / 1000 if agent is not None else 0.0
         delay_s = max(self._answer_delay_s(start_id(state)), link_s, connect_s)
-        margin_s = _DELAYS_KEPT_BACK * delay_s + _WAIT_AT_TARGET_S
+        margin_s = _DELAY_FACTOR * delay_s + _WAIT_AT_TARGET_S
         if link_s >= _NARROW_LINK_S:
             margin_s = max(margin_s, _NARROW_MARGIN_S)
         return min(max(margin_s, _VERSION_MARGIN_S), _UNGUARDED_MARGIN_S)
@@ -235,32 +246,32 @@
     def begins_within_s(
         self, service: str, model: str, candidate_id: str
     ) -> float | None:
-        """How long a request may still begin on the weights of a target.
-
-        For logs.
+        """Time for which a request may still begin on a target's weights.
 
         Returns:
-            Seconds, below 0 when it is too late; None where no newer version
-            is named.
+            Seconds, negative when it is too late; None where no newer version
+            is desired.
         """
         if not model or not self._weights_s:
             return None
         state = self._state(service, candidate_id)
         if state is None:
             return None
-        named = self._view.goal_since_by_model.get(model, {})
+        since_by_version = self._view.goal_since_by_model.get(model, {})
         ends = [
             since + self._weights_s - now_s()
-            for version, since in named.items()
+            for version, since in since_by_version.items()
             if not self._serves(state, model, version)
         ]
         return min(ends, default=None)
 
     def outdated_ids(self, service: str, model: str) -> set[str]:
-        """Targets at which a request must not begin any more, by version."""
+        """Targets whose version is too old for a request to begin."""
         if not model or not self._weights_s:
             return set()
-        due = self._view.due_version(model, self._weights_s - _TAKE_BACK_S)
+        due = self._view.due_version(
+            model, self._weights_s - _WITHDRAWAL_MARGIN_S
+        )
         if not due:
             return set()
         self._refresh()
@@ -273,7 +284,7 @@
     def _state(
         self, service: str, candidate_id: str
     ) -> fleet_pb2.TargetState | None:
-        """A ready target of a service by its start."""
+        """State of a ready target of a service, by the id of its start."""
         self._refresh()
         state = self._states_by_start_id.get(candidate_id)
         return state if state is not None and state.service == service else None
@@ -292,11 +303,13 @@
                 self._states_by_start_id[start_id(state)] = state
 
     def _serves(
-        self, state: fleet_pb2.TargetState, model: str, least: int
+        self, state: fleet_pb2.TargetState, model: str, min_version: int
     ) -> bool:
         layers = self._layers(state.service)
         parts = held_by(state, self._agents_by_target.get(state.address))
-        return any(v >= least for v in whole_versions(parts, model, layers))
+        return any(
+            v >= min_version for v in whole_versions(parts, model, layers)
+        )
 
     def _is_switching(self, state: fleet_pb2.TargetState) -> bool:
         agent = self._agents_by_target.get(state.address)
@@ -310,7 +323,7 @@
     def _engine(self, service: str) -> fleet_pb2.EngineProfile:
         table = self._view.table
         known = table.services_by_name.get(service) if table else None
-        return known.engine if known else _NO_ENGINE
+        return known.engine if known else _EMPTY_PROFILE
 
     def _candidate(self, state: fleet_pb2.TargetState) -> Candidate:
         engine = self._engine(state.service)
@@ -320,7 +333,7 @@
             address=state.address,
             failure_domain=state.failure_domain,
             region=self._region_by_domain.get(state.failure_domain, ""),
-            slots=state.slots or _USUAL_SLOTS,
+            slots=state.slots or _DEFAULT_SLOTS,
             prompt_tokens_s=engine.prefill_tokens_per_s,
             born_ms=state.born_ms,
         )
--- a/damaskcroft/forwarding/_suspects.py
+++ b/damaskcroft/forwarding/_suspects.py
@@ -1,4 +1,9 @@
-"""What an entry does about requests that may crash their targets."""
+"""Handling of requests that may crash their targets.
+
+A suspect request is one that was running on a target when it crashed. Its
+copies are sent one at a time, and after several crashes in a row it is
+quarantined, so that one faulty request does not take down a whole service.
+"""
 
 import asyncio
 import contextlib
@@ -12,7 +17,7 @@
     Job,
     Progress,
     Refused,
-    given_up,
+    failed_ending,
 )
 from damaskcroft.forwarding._services import Services
 from damaskcroft.observe import log_event, metrics
@@ -27,51 +32,53 @@
 )
 from damaskcroft.routing import BackPressure, Candidate
 
-__all__ = ["QUARANTINED", "STARTED_AGAIN", "Suspects"]
+__all__ = ["QUARANTINED", "RESTARTED", "Suspects"]
 
-# Why a request is refused, isn't sent, or is taken back.
+# Reason for which a request is refused, not sent, or withdrawn from a target.
 QUARANTINED = "quarantined"
 
-# An attempt that was ended since its target has started again.
-STARTED_AGAIN = "restarted"
-# How long a suspect waits before its next attempt, to know whether its target
-# has crashed: some round trips between regions.
-_VERDICT_WITHIN_S = 0.1
-# How long any other lost request waits before its next attempt, to be sent as a
-# suspect then: a round trip between regions.
-_FIRST_LOOK_WITHIN_S = 0.05
-# How long one waits that has no attempt left unless its target has ended: some
-# looks at its address.
-_LAST_LOOK_WITHIN_S = 0.3
-# Until all entries know of a crash: control gathers news for half of that.
-_NEWS_SPREADS_S = 0.1
+# Reason for ending an attempt whose target has restarted.
+RESTARTED = "restarted"
+# Time that a suspect request waits before its next attempt to learn whether its
+# target has crashed: a few round trips between regions.
+_SUSPECT_VERDICT_TIMEOUT_S = 0.1
+# Time that any other lost request waits before its next attempt, so that it is
+# sent as a suspect if its target has crashed: a round trip between regions.
+_VERDICT_TIMEOUT_S = 0.05
+# Time that a request waits which has no attempt left unless its target has
+# ended: several checks of the target's address.
+_LAST_VERDICT_TIMEOUT_S = 0.3
+# Time until all entries have learned of a crash: control batches updates for
+# half of it.
+_CRASH_PROPAGATION_S = 0.1
 
 
 class Suspects:
-    """Requests that targets crashed under, as this entry knows them.
+    """Suspect requests, as far as this entry knows of them.
 
     Args:
-        book: what the fleet knows.
-        services: whether a target announced its end, or was replaced.
-        back_pressure: whether it said in an answer that it ends.
-        tell: tells the fleet what this entry has found out.
-        hold_turn: keeps other entries from sending copies meanwhile; None
-            where there is no way to.
+        registry: registry of the crashes that the fleet knows of.
+        services: tells whether a target announced its end or was replaced.
+        back_pressure: tells whether a target announced its end in an answer.
+        publish: publishes crashes that this entry has detected to the fleet.
+        hold_turn: holds the turn of a suspect request, which is the permission
+            to send one copy of it, granted to one entry at a time; None where
+            entries can't be coordinated.
     """
 
     def __init__(
         self,
-        book: CrashBook,
+        registry: CrashBook,
         services: Services,
         back_pressure: BackPressure,
-        tell: Callable[[Iterable[quarantine_pb2.TargetCrash]], None],
+        publish: Callable[[Iterable[quarantine_pb2.TargetCrash]], None],
         hold_turn: HoldTurn | None = None,
     ):
-        """See the class."""
-        self._book = book
+        """Starts to watch for crashes; no request has been lost yet."""
+        self._registry = registry
         self._services = services
-        self._tell = tell
-        self._copies = Copies(book, hold_turn)
+        self._publish = publish
+        self._copies = Copies(registry, hold_turn)
         self._recent_answers = RecentAnswers()
         self._watch: CrashWatch[Candidate] = CrashWatch(
             lambda target: (
@@ -79,69 +86,73 @@
                 or back_pressure.is_leaving(target.id)
             ),
             services.is_replaced,
-            lambda crash: tell([crash]),
-            book.crashed_at,
+            lambda crash: publish([crash]),
+            registry.crashed_at,
         )
 
     def listen(self, listener: Callable[[], None]) -> None:
-        """Calls `listener` after each change of a verdict."""
-        self._book.listen(listener)
+        """Calls `listener` whenever the suspicion of a request changes."""
+        self._registry.listen(listener)
 
-    def look(self) -> None:
-        """Looks for crashes that show late; to be called often."""
+    def check_crashes(self) -> None:
+        """Checks for crashes that are detected late; to be called often."""
         self._watch.look()
 
     def quarantined_s(self, job: Job, progress: Progress) -> float:
-        """For how long a request is refused; 0 if it isn't."""
-        if not self._book.has_suspects:
+        """Seconds for which a request remains refused; 0 if it is not."""
+        if not self._registry.has_suspects:
             return 0.0
-        return self._book.quarantined_s(_fingerprint(job, progress))
+        return self._registry.quarantined_s(_fingerprint(job, progress))
 
-    def refused(
+    def refusal(
         self, job: Job, progress: Progress, quarantined_s: float
     ) -> Ending:
-        """How a quarantined request ends.
+        """The ending of a quarantined request.
 
-        A caller that comes back before the end would be refused again.
+        Its Retry-After covers the rest of the hold, because a caller that
+        retries earlier would be refused again.
         """
-        ending = given_up(QUARANTINED, progress, quarantined_s)
+        ending = failed_ending(QUARANTINED, progress, quarantined_s)
         if not isinstance(ending, Refused):
             return ending
         detail = f"fingerprint {_fingerprint(job, progress).hex()}"
         return dataclasses.replace(ending, detail=detail)
 
     def is_suspect(self, job: Job, progress: Progress) -> bool:
-        """Whether targets crashed under a request, and nothing cleared it."""
-        if not self._book.has_suspects:
+        """Whether targets crashed running a request that is not cleared."""
+        if not self._registry.has_suspects:
             return False
-        return self._book.is_suspect(_fingerprint(job, progress))
+        return self._registry.is_suspect(_fingerprint(job, progress))
 
     @contextlib.asynccontextmanager
     async def one_at_a_time(
         self, job: Job, progress: Progress
     ) -> AsyncIterator[None]:
-        """Waits while a copy of a suspect is under way."""
-        if not self._book.has_suspects:
+        """Waits while another copy of a suspect request is running."""
+        if not self._registry.has_suspects:
             yield
             return
         fingerprint = _fingerprint(job, progress)
         async with self._copies.one_at_a_time(
-            fingerprint, job.deadline_at, lambda: self._few_left(job)
+            fingerprint, job.deadline_at, lambda: self._has_few_targets(job)
         ):
             yield
 
-    def _few_left(self, job: Job) -> bool:
-        """Whether the last targets are kept for requests that crash none."""
+    def _has_few_targets(self, job: Job) -> bool:
+        """Whether the remaining targets are reserved for other requests.
+
+        Those are the requests that have crashed no target.
+        """
         found = self._services.candidates(job.service, job.call.model)
-        return self._book.few_left(job.service, (each.id for each in found))
+        return self._registry.few_left(job.service, (each.id for each in found))
 
-    def sending(self, job: Job, progress: Progress) -> None:
-        """Takes note of what is known when a request is sent."""
-        if self._book.has_suspects:
-            known = self._book.chain(_fingerprint(job, progress))
-            progress.chain = max(progress.chain, known)
+    def record_dispatch(self, job: Job, progress: Progress) -> None:
+        """Records the known crashes of a request when it is sent."""
+        if self._registry.has_suspects:
+            known_chain = self._registry.chain(_fingerprint(job, progress))
+            progress.chain = max(progress.chain, known_chain)
 
-    async def lost(
+    async def record_loss(
         self,
         job: Job,
         progress: Progress,
@@ -149,25 +160,25 @@
         lost: Lost,
         connecting_at: float | None = None,
     ) -> None:
-        """Takes note of a lost attempt.
+        """Records a lost attempt.
 
-        It waits for a moment until it is known whether its target has crashed,
-        so that its next attempt doesn't crash another one, and isn't lost
-        beside a request that does.
+        Waits briefly to learn whether the target has crashed, so that the next
+        attempt neither crashes another target nor runs beside a request that
+        does.
 
         Args:
             job: the request.
-            progress: what became of it so far.
-            target: where it was sent.
+            progress: its state across attempts.
+            target: the target that it was sent to.
             lost: how the attempt ended.
-            connecting_at: when a connection was opened for it; None where a
-                kept one was used.
+            connecting_at: loop time at which a connection was opened for it;
+                None where an idle connection was reused.
         """
-        if not lost.cut and lost.reason != STARTED_AGAIN:
+        if not lost.cut and lost.reason != RESTARTED:
             return
         was_suspect = self.is_suspect(job, progress)
         progress.chain += 1
-        looked = self._watch.lost(
+        verdict = self._watch.lost(
             Loss(
                 target,
                 job.service,
@@ -178,27 +189,28 @@
                 connecting_at,
             )
         )
-        if looked is None:
+        if verdict is None:
             return
         if was_suspect:
-            await asyncio.wait([looked], timeout=_VERDICT_WITHIN_S)
-            # Whoever sends the next copy shall know that one more crashed.
-            await asyncio.sleep(_NEWS_SPREADS_S)
+            await asyncio.wait([verdict], timeout=_SUSPECT_VERDICT_TIMEOUT_S)
+            # The entry that sends the next copy must know of this crash too.
+            await asyncio.sleep(_CRASH_PROPAGATION_S)
         elif job.is_repeatable:
-            within_s = _FIRST_LOOK_WITHIN_S
+            within_s = _VERDICT_TIMEOUT_S
             if progress.begun and not job.has_attempt_after(progress):
-                within_s = min(_LAST_LOOK_WITHIN_S, max(0.0, job.left_s))
-            await asyncio.wait([looked], timeout=within_s)
-        # What has given events elsewhere crashes no target by itself, and its
-        # caller can't come back for the rest.
+                within_s = min(_LAST_VERDICT_TIMEOUT_S, max(0.0, job.left_s))
+            await asyncio.wait([verdict], timeout=within_s)
+        # A stream that has produced events on another target does not crash
+        # targets by itself, and its caller can't retry for the remainder, so
+        # this attempt does not count towards the route's maximum.
         if progress.begun and self._watch.has_crashed(target):
             progress.uncounted += 1
 
-    def answered(self, job: Job, progress: Progress) -> None:
-        """A target gave its whole answer, so the request crashes none.
+    def record_answer(self, job: Job, progress: Progress) -> None:
+        """Clears a request whose answer a target has completed.
 
-        Not to be told of failures: the target may have failed before it ran
-        the part that crashes.
+        Not to be called for failures, because the target may have failed
+        before it reached the part that crashes.
         """
         if len(job.call.body) <= MOST_NOTED_BYTES:
             self._recent_answers.note(_fingerprint(job, progress))
@@ -211,7 +223,7 @@
             request=job.call.request_id,
             fingerprint=fingerprint.hex(),
         )
-        self._tell(self._book.clear(fingerprint, job.service))
+        self._publish(self._registry.clear(fingerprint, job.service))
 
 
 def _fingerprint(job: Job, progress: Progress) -> bytes:
--- a/damaskcroft/forwarding/tests/conftest.py
+++ b/damaskcroft/forwarding/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What tests of a request's way share."""
+"""Fixtures shared by the tests of forwarding."""
 
 import logging
 
@@ -9,7 +9,7 @@
 
 
 class Collector(logging.Handler):
-    """Lines as they would stand in a log file."""
+    """Log handler that collects lines in the format of a log file."""
 
     def __init__(self):
         super().__init__()
@@ -23,7 +23,8 @@
 
 @pytest.fixture
 def logs(monkeypatch):
-    # A budget of its own: what other tests logged in this second counts too.
+    # A separate budget, because lines that other tests have logged within the
+    # same second would count too.
     monkeypatch.setattr(_logs, "_budget", LineBudget())
     collector = Collector()
     logger = logging.getLogger("absl")
--- a/damaskcroft/forwarding/tests/fakes.py
+++ b/damaskcroft/forwarding/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Targets on loopback that misbehave as told, and an entry before them."""
+"""Fake targets on loopback with scripted faults, and an entry for them."""
 
 import asyncio
 import contextlib
@@ -33,7 +33,7 @@
 
 
 class PlainWire(Wire):
-    """Headers under plain names, so that tests need no platform."""
+    """Encoding with plain header names, independent of the platform."""
 
     def call(self, request):
         last = request.value(b"x-last")
@@ -91,21 +91,24 @@
 
 
 class FakeTarget:
-    """Answers each request as the next mode says; the last mode stays."""
+    """Target that applies the next mode to each request; the last one stays.
+
+    A mode is the name of a method that answers a request.
+    """
 
     def __init__(self, name, *modes):
         self.name = name
         self.modes = list(modes)
         self.heads = []
         self.held = []
-        self.left = 0
+        self.disconnects = 0
         self.address = ""
         self.server = None
-        # How long it asks for rest, in the mode `rests`.
-        self.rest = "1"
-        # How long it says nothing, in modes that pause.
+        # Back-off that it requests, in the mode `rests`.
+        self.back_off = "1"
+        # Duration of the silence, in modes that pause.
         self.pause_s = 1.3
-        # What its whole answers name as its limit; None for nothing.
+        # Rate limit in its complete answers; None for no header.
         self.limit = None
 
     async def serve(self, reader, writer):
@@ -159,7 +162,7 @@
     async def rests(self, head, reader, writer):
         writer.write(
             b"HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nX-Rest: %s\r\n"
-            b"Content-Length: 0\r\n\r\n" % self.rest.encode()
+            b"Content-Length: 0\r\n\r\n" % self.back_off.encode()
         )
         return True
 
@@ -189,13 +192,13 @@
         return False
 
     async def dies(self, head, reader, writer):
-        """As a process that ends: its address refuses connections."""
+        """Simulates a process that ends: its address refuses connections."""
         self.server.close()
         return False
 
     async def streams_and_dies(self, head, reader, writer):
         self.server.close()
-        return await self.stream(head, reader, writer, upto=3)
+        return await self.stream(head, reader, writer, up_to=3)
 
     async def cut_body(self, head, reader, writer):
         writer.write(
@@ -205,27 +208,27 @@
         return False
 
     async def hangs(self, head, reader, writer):
-        # The caller's leaving may show as an end or as a reset.
+        # The disconnect may appear as an end of the stream or as a reset.
         with contextlib.suppress(ConnectionError):
             await reader.read(1)
-        self.left += 1
+        self.disconnects += 1
         return False
 
     async def stream(
-        self, head, reader, writer, upto=EVENTS, tail=b"", pause_after=None
+        self, head, reader, writer, up_to=EVENTS, tail=b"", pause_after=None
     ):
         first = int(head.get("x-last", 0)) + 1
         writer.write(
             b"HTTP/1.1 200 OK\r\nX-Seal: " + self.name.encode()
             + b"\r\nTransfer-Encoding: chunked\r\n\r\n"
         )  # fmt: skip
-        for number in range(first, upto + 1):
+        for number in range(first, up_to + 1):
             event = b"id: %d\ndata: %d\n\n" % (number, number)
             writer.write(b"%x\r\n%s\r\n" % (len(event), event))
             await writer.drain()
             pauses = pause_after in (number, "each")
             await asyncio.sleep(self.pause_s if pauses else 0)
-        if upto == EVENTS:
+        if up_to == EVENTS:
             writer.write(b"0\r\n\r\n")
             return True
         if tail:
@@ -252,7 +255,7 @@
         return await self.fails(head, reader, writer)
 
     async def stream_dies_late(self, head, reader, writer):
-        await self.stream(head, reader, writer, upto=3)
+        await self.stream(head, reader, writer, up_to=3)
         await asyncio.sleep(self.pause_s)
         return False
 
@@ -265,11 +268,11 @@
         return await self.cut_body(head, reader, writer)
 
     async def stream_hangs(self, head, reader, writer):
-        await self.stream(head, reader, writer, upto=3)
+        await self.stream(head, reader, writer, up_to=3)
         return await self.hangs(head, reader, writer)
 
     async def stream_cut(self, head, reader, writer):
-        return await self.stream(head, reader, writer, upto=3)
+        return await self.stream(head, reader, writer, up_to=3)
 
     async def stream_cut_within(self, head, reader, writer):
         return await self.stream(head, reader, writer, 3, b"id: 4\nda")
@@ -294,7 +297,7 @@
 
 
 class Entry:
-    """An entry's request path, without its control."""
+    """The request path of an entry, without a connection to control."""
 
     def __init__(self, view, gate, placer, services, address):
         self.view = view
@@ -310,8 +313,8 @@
         host, _, port = self.address.rpartition(":")
         return await asyncio.open_connection(host, port)
 
-    async def ask(self, path="/a", **headers):
-        """Status, headers and body that a caller gets; closes after."""
+    async def send_request(self, path="/a", **headers):
+        """Sends a request and returns the status, headers and body."""
         reader, writer = await self.connect()
         names = {"x_id": "1"} | headers
         lines = [f"POST {path} HTTP/1.1", "Host: h", "Connection: close"]
@@ -325,10 +328,10 @@
 
 
 @contextlib.asynccontextmanager
-async def entry_before(
+async def running_entry(
     *targets, config=None, ratio=1.0, extra=100.0, weights_s=0.0, drain_s=2.0
 ):
-    """An entry that knows `targets` as the service "s"."""
+    """Runs an entry that knows `targets` as the service "s"."""
     view = FleetView()
     if config is not None:
         view.apply_configuration(config)
@@ -395,7 +398,7 @@
 
 
 def unchunked(body):
-    """The payload of a chunked body, and whether it ended as complete."""
+    """Payload of a chunked body, and whether its last chunk was received."""
     payload, complete = b"", False
     while body:
         size, _, body = body.partition(b"\r\n")
--- a/damaskcroft/forwarding/tests/silent.py
+++ b/damaskcroft/forwarding/tests/silent.py
@@ -1,4 +1,4 @@
-"""Callers of targets that fall silent, and what they should get."""
+"""Helpers for tests with targets that become silent."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
     unchunked,
 )
 
-ALL_IDS = list(range(1, EVENTS + 1))
+ALL_EVENT_IDS = list(range(1, EVENTS + 1))
 
 
 def config(max_attempts=2, **fields):
@@ -23,12 +23,12 @@
     return config(max_attempts, streaming=True, resumable=True)
 
 
-async def ask(entry, first, deadline="4"):
-    """What a caller gets whose request goes to one target first."""
+async def send_request(entry, first, deadline="4"):
+    """Sends a request that reaches the target `first` before the others."""
     others = [c for c in entry.candidates() if c.id != first.name]
     held = [entry.placer.take(c) for c in others]
     before = len(first.heads)
-    asking = asyncio.create_task(entry.ask(x_deadline=deadline))
+    asking = asyncio.create_task(entry.send_request(x_deadline=deadline))
     async with asyncio.timeout(10):
         while len(first.heads) == before and not asking.done():
             await asyncio.sleep(0.01)
@@ -37,7 +37,7 @@
     return await asking
 
 
-def assert_whole(answer):
+def assert_complete_stream(answer):
     status, _, body = answer
     payload, complete = unchunked(body)
-    assert (status, event_ids(payload), complete) == (200, ALL_IDS, True)
+    assert (status, event_ids(payload), complete) == (200, ALL_EVENT_IDS, True)
--- a/damaskcroft/forwarding/tests/test_answer_times.py
+++ b/damaskcroft/forwarding/tests/test_answer_times.py
@@ -1,4 +1,4 @@
-"""What is remembered of how long answers took."""
+"""Tests of the recorded durations of answers."""
 
 import asyncio
 
@@ -7,17 +7,18 @@
 TIMEOUT_S = 6.0
 
 
-def test_an_answer_counts_for_a_while_and_no_longer(loop):
-    # Against routes judged by answers of hours ago, or by none just now.
+def test_answer_durations_expire(loop):
+    # Guards against judging a route by answers of hours ago, and against
+    # forgetting the most recent ones.
     async def scenario():
         times = AnswerTimes()
-        times.took("a", 2.0)
-        times.took("a", 1.0)
+        times.record("a", 2.0)
+        times.record("a", 1.0)
         await asyncio.sleep(29.0)
         assert times.longest_s("a", TIMEOUT_S) == 2.0
         assert times.longest_s("b", TIMEOUT_S) == TIMEOUT_S
         await asyncio.sleep(2.0)
-        times.took("a", 1.0)
+        times.record("a", 1.0)
         assert times.longest_s("a", TIMEOUT_S) == 2.0
         await asyncio.sleep(30.0)
         assert times.longest_s("a", TIMEOUT_S) == 1.0
@@ -27,12 +28,13 @@
     loop.run_until_complete(scenario())
 
 
-def test_quick_answers_tell_nothing_before_slow_ones_could_have_ended(loop):
-    # Against an entry just started that takes its first answers for all.
+def test_timeout_is_returned_until_slow_answers_could_have_ended(loop):
+    # Guards against a newly started entry that takes its first answers, which
+    # are the quick ones, as representative.
     async def scenario():
         times = AnswerTimes()
         await asyncio.sleep(0.5)
-        times.took("a", 0.5)
+        times.record("a", 0.5)
         await asyncio.sleep(5.4)
         assert times.longest_s("a", TIMEOUT_S) == TIMEOUT_S
         await asyncio.sleep(0.2)
--- a/damaskcroft/forwarding/tests/test_answers_to_the_end.py
+++ b/damaskcroft/forwarding/tests/test_answers_to_the_end.py
@@ -1,4 +1,4 @@
-"""A request that was read gets its answer, whatever its targets do."""
+"""Tests that a stream is completed despite several failing targets."""
 
 import asyncio
 
@@ -8,15 +8,15 @@
     EVENTS,
     FakeTarget,
     configuration,
-    entry_before,
     event_ids,
     route,
+    running_entry,
     unchunked,
 )
 
 
 class RefusingTarget(FakeTarget):
-    """Refuses in the other ways that promise that nothing ran."""
+    """Target with further refusals that certify that nothing ran."""
 
     async def misses_with_429(self, head, reader, writer):
         writer.write(
@@ -31,8 +31,8 @@
         return True
 
 
-def three(*modes):
-    """Three targets that behave as told, whichever is asked first."""
+def three_targets(*modes):
+    """Three targets that share the modes, whichever is tried first."""
     targets = [RefusingTarget(name, "stream") for name in "abc"]
     shared = list(modes)
     for target in targets:
@@ -55,15 +55,16 @@
         "leaves_and_fails",
     ],
 )
-def test_a_stream_goes_on_past_a_second_target_that_fails(mode):
-    # Against a stream that is broken off with attempts, targets and time left.
+def test_stream_continues_after_second_target_fails(mode):
+    # Guards against interrupting a stream while attempts, targets and time are
+    # left.
     async def scenario():
-        targets = three("stream_cut", mode, "stream")
+        targets = three_targets("stream_cut", mode, "stream")
         stream = configuration(
             1, route(streaming=True, resumable=True, max_attempts=3)
         )
-        async with entry_before(*targets, config=stream) as entry:
-            status, _, body = await entry.ask()
+        async with running_entry(*targets, config=stream) as entry:
+            status, _, body = await entry.send_request()
             payload, complete = unchunked(body)
             assert (status, complete) == (200, True)
             assert event_ids(payload) == list(range(1, EVENTS + 1))
@@ -72,15 +73,15 @@
 
 
 @pytest.mark.parametrize("mode", ["fails", "unsealed", "not_run", "rests"])
-def test_a_failing_last_target_ends_a_stream_at_once(mode):
-    # With no attempt left nothing better can come.
+def test_failing_last_attempt_ends_stream_at_once(mode):
+    # Without an attempt left, waiting can't produce a better answer.
     async def scenario():
-        targets = three("stream_cut", mode)
+        targets = three_targets("stream_cut", mode)
         stream = configuration(
             1, route(streaming=True, resumable=True, max_attempts=2)
         )
-        async with entry_before(*targets, config=stream) as entry:
-            status, _, body = await entry.ask()
+        async with running_entry(*targets, config=stream) as entry:
+            status, _, body = await entry.send_request()
             payload, complete = unchunked(body)
             assert (status, complete) == (200, False)
             assert event_ids(payload) == [1, 2, 3]
--- a/damaskcroft/forwarding/tests/test_changed_configuration.py
+++ b/damaskcroft/forwarding/tests/test_changed_configuration.py
@@ -1,4 +1,4 @@
-"""Requests under way while a configuration takes away what they came by."""
+"""Tests of running requests while their configuration is removed."""
 
 import asyncio
 
@@ -8,10 +8,10 @@
 from damaskcroft.forwarding.tests.fakes import (
     FakeTarget,
     configuration,
-    entry_before,
     route,
+    running_entry,
 )
-from damaskcroft.forwarding.tests.silent import assert_whole
+from damaskcroft.forwarding.tests.silent import assert_complete_stream
 
 KEY = "key-one"
 STREAM = dict(
@@ -22,16 +22,18 @@
 
 
 def config(version, *routes, keys=(KEY,), services=("s",), **limits):
-    made = configuration(
+    changed_config = configuration(
         version,
         *routes,
         customers=[fleet_pb2.Customer(name="c", keys=keys)],
         keys_required=True,
     )
-    del made.services[:]
-    made.services.extend(fleet_pb2.Service(name=name) for name in services)
-    made.limits.CopyFrom(fleet_pb2.CallerLimits(**limits))
-    return made
+    del changed_config.services[:]
+    changed_config.services.extend(
+        fleet_pb2.Service(name=name) for name in services
+    )
+    changed_config.limits.CopyFrom(fleet_pb2.CallerLimits(**limits))
+    return changed_config
 
 
 def stream(**fields):
@@ -54,17 +56,19 @@
 }
 
 
-async def until_asked(*targets):
+async def wait_for_requests(*targets):
     async with asyncio.timeout(5):
         while not any(target.heads for target in targets):
             await asyncio.sleep(0.01)
 
 
-async def ask_over(change, *targets):
-    """What a caller gets whose request is at a target as a change comes."""
-    async with entry_before(*targets, config=config(1, stream())) as entry:
-        asking = asyncio.create_task(entry.ask(x_deadline="6", x_key=KEY))
-        await until_asked(*targets)
+async def request_across_change(change, *targets):
+    """Sends a request and applies a change while it is at a target."""
+    async with running_entry(*targets, config=config(1, stream())) as entry:
+        asking = asyncio.create_task(
+            entry.send_request(x_deadline="6", x_key=KEY)
+        )
+        await wait_for_requests(*targets)
         await asyncio.sleep(0.1)
         entry.view.apply_configuration(change)
         return await asking
@@ -72,25 +76,31 @@
 
 @pytest.mark.parametrize("mode", ["stream_pauses", "stream_after_a_pause"])
 @pytest.mark.parametrize("name", CHANGES)
-def test_no_change_cuts_a_stream_while_its_targets_pause(name, mode):
+def test_configuration_change_does_not_cut_stream(name, mode):
     targets = FakeTarget("a", mode), FakeTarget("b", mode)
-    assert_whole(asyncio.run(ask_over(CHANGES[name], *targets)))
+    assert_complete_stream(
+        asyncio.run(request_across_change(CHANGES[name], *targets))
+    )
 
 
 @pytest.mark.parametrize("name", CHANGES)
-def test_no_change_fails_a_request_while_its_targets_pause(name):
-    # A whole answer whose route is a stream in no version.
+def test_configuration_change_does_not_fail_request(name):
+    # The answer is not a stream, so the route is no stream in either version.
     change = fleet_pb2.Configuration()
     change.CopyFrom(CHANGES[name])
     for changed in change.routes:
         changed.streaming = changed.resumable = False
-    safe = stream(streaming=False, resumable=False, idempotent=True)
+    repeatable = stream(streaming=False, resumable=False, idempotent=True)
 
     async def scenario():
         targets = FakeTarget("a", "pauses"), FakeTarget("b", "pauses")
-        async with entry_before(*targets, config=config(1, safe)) as entry:
-            asking = asyncio.create_task(entry.ask(x_deadline="6", x_key=KEY))
-            await until_asked(*targets)
+        async with running_entry(
+            *targets, config=config(1, repeatable)
+        ) as entry:
+            asking = asyncio.create_task(
+                entry.send_request(x_deadline="6", x_key=KEY)
+            )
+            await wait_for_requests(*targets)
             entry.view.apply_configuration(change)
             return await asking
 
--- a/damaskcroft/forwarding/tests/test_foreign_timeouts.py
+++ b/damaskcroft/forwarding/tests/test_foreign_timeouts.py
@@ -1,4 +1,4 @@
-"""Only a request's own deadline ends it as late."""
+"""Tests that only a request's own deadline ends it with a time-out."""
 
 import asyncio
 
@@ -6,20 +6,21 @@
 from damaskcroft.forwarding.tests.fakes import (
     FakeTarget,
     configuration,
-    entry_before,
     route,
+    running_entry,
 )
 
 
-def test_a_timeout_of_something_else_is_a_fault_and_no_deadline(monkeypatch):
-    # Against a promise that nothing ran, and a deadline that wasn't reached.
+def test_unrelated_timeout_is_an_internal_error_not_a_deadline(monkeypatch):
+    # Guards against reporting an unrelated TimeoutError as the deadline, or as
+    # a request that has not run.
     async def fails(*_):
         raise TimeoutError("of something else")
 
     async def scenario():
         config = configuration(1, route())
-        async with entry_before(FakeTarget("a", "whole"), config=config) as e:
-            status, _, _ = await e.ask()
+        async with running_entry(FakeTarget("a", "whole"), config=config) as e:
+            status, _, _ = await e.send_request()
             assert status == 500
 
     monkeypatch.setattr(Forwarder, "_try_targets", fails)
