--- a/damaskcroft/forwarding/tests/test_forwarding.py
+++ b/damaskcroft/forwarding/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""A request's way: what is repeated, what isn't, and what callers hear."""
+"""Tests of forwarding: retries, streams, weights, restarts, configuration."""
 
 import asyncio
 
@@ -12,34 +12,34 @@
     EVENTS,
     FakeTarget,
     configuration,
-    entry_before,
     event_ids,
     route,
+    running_entry,
     unchunked,
 )
 
-ONCE = configuration(1, route())
-SAFE = configuration(1, route(idempotent=True))
+NOT_REPEATABLE = configuration(1, route())
+REPEATABLE = configuration(1, route(idempotent=True))
 STREAM = configuration(1, route(streaming=True, resumable=True))
 
 
-def pair(first_modes, second_mode="whole"):
-    """Two targets of which whichever is asked first behaves as told."""
+def two_targets(first_modes, second_mode="whole"):
+    """Two targets that share the modes, whichever is tried first."""
     modes = [*first_modes, second_mode]
     a, b = FakeTarget("a", "whole"), FakeTarget("b", "whole")
     a.modes = b.modes = modes
     return a, b
 
 
-def asked(*targets):
+def request_count(*targets):
     return sum(len(target.heads) for target in targets)
 
 
-def test_an_answer_comes_back_whole_with_its_seal():
+def test_answer_is_relayed_complete_with_seal():
     async def scenario():
         target = FakeTarget("a", "whole")
-        async with entry_before(target, config=ONCE) as entry:
-            status, head, body = await entry.ask()
+        async with running_entry(target, config=NOT_REPEATABLE) as entry:
+            status, head, body = await entry.send_request()
             assert (status, body) == (200, b"a")
             assert "x-seal: s" in head
             assert target.heads[0]["x-target"] == "a"
@@ -50,179 +50,179 @@
 @pytest.mark.parametrize(
     "mode", ["fails", "unsealed", "silent_close", "cut_body"]
 )
-def test_what_may_repeat_is_asked_of_another_target(mode):
+def test_repeatable_request_is_retried_at_another_target(mode):
     async def scenario():
-        targets = pair([mode])
-        async with entry_before(*targets, config=SAFE) as entry:
-            status, _, body = await entry.ask()
+        targets = two_targets([mode])
+        async with running_entry(*targets, config=REPEATABLE) as entry:
+            status, _, body = await entry.send_request()
             assert (status, len(body)) == (200, 1)
-            assert asked(*targets) == 2
+            assert request_count(*targets) == 2
 
     asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("mode", ["unsealed", "silent_close", "cut_body"])
-def test_what_may_not_repeat_is_sent_once_and_not_said_to_be_unrun(mode):
+def test_non_repeatable_request_is_sent_once_and_not_reported_as_not_run(mode):
     async def scenario():
-        targets = pair([mode])
-        async with entry_before(*targets, config=ONCE) as entry:
-            status, head, _ = await entry.ask()
+        targets = two_targets([mode])
+        async with running_entry(*targets, config=NOT_REPEATABLE) as entry:
+            status, head, _ = await entry.send_request()
             assert status == 502
             assert "retry-after" not in head
-            assert asked(*targets) == 1
+            assert request_count(*targets) == 1
 
     asyncio.run(scenario())
 
 
-def test_a_targets_own_failure_goes_back_unchanged():
+def test_server_error_of_target_is_relayed_unchanged():
     async def scenario():
-        targets = pair(["fails"])
-        async with entry_before(*targets, config=ONCE) as entry:
-            status, head, body = await entry.ask()
+        targets = two_targets(["fails"])
+        async with running_entry(*targets, config=NOT_REPEATABLE) as entry:
+            status, head, body = await entry.send_request()
             assert (status, len(body)) == (500, 1)
             assert "x-seal" in head
-            assert asked(*targets) == 1
+            assert request_count(*targets) == 1
 
     asyncio.run(scenario())
 
 
-def test_what_certainly_did_not_run_goes_elsewhere_even_if_unsafe():
+def test_request_that_did_not_run_is_retried_even_if_not_repeatable():
     async def scenario():
-        targets = pair(["not_run"])
-        async with entry_before(*targets, config=ONCE) as entry:
-            status, _, _ = await entry.ask()
+        targets = two_targets(["not_run"])
+        async with running_entry(*targets, config=NOT_REPEATABLE) as entry:
+            status, _, _ = await entry.send_request()
             assert status == 200
-            assert asked(*targets) == 2
+            assert request_count(*targets) == 2
 
     asyncio.run(scenario())
 
 
-def test_when_nobody_ran_it_the_caller_hears_so_and_when_to_return():
+def test_request_that_no_target_ran_is_refused_with_retry_after():
     async def scenario():
-        targets = pair(["not_run", "not_run"])
-        async with entry_before(*targets, config=ONCE) as entry:
-            status, head, _ = await entry.ask()
+        targets = two_targets(["not_run", "not_run"])
+        async with running_entry(*targets, config=NOT_REPEATABLE) as entry:
+            status, head, _ = await entry.send_request()
             assert status == 503
             assert "retry-after" in head
 
     asyncio.run(scenario())
 
 
-def test_after_a_lost_attempt_a_refusal_elsewhere_is_no_promise():
+def test_refusal_after_lost_attempt_is_not_reported_as_not_run():
     async def scenario():
-        targets = pair(["silent_close", "not_run"])
-        async with entry_before(*targets, config=SAFE) as entry:
-            status, _, _ = await entry.ask()
+        targets = two_targets(["silent_close", "not_run"])
+        async with running_entry(*targets, config=REPEATABLE) as entry:
+            status, _, _ = await entry.send_request()
             assert status == 502
-            assert asked(*targets) == 2
+            assert request_count(*targets) == 2
 
     asyncio.run(scenario())
 
 
-def test_a_target_that_refuses_connections_costs_no_attempt():
+def test_refused_connection_does_not_count_as_attempt():
     async def scenario():
         gone = FakeTarget("a", "whole")
         alive = FakeTarget("b", "whole")
         config = configuration(1, route(max_attempts=1))
-        async with entry_before(alive, config=config) as entry:
+        async with running_entry(alive, config=config) as entry:
             state = fleet_pb2.TargetState(
                 id="a", service="s", address="127.0.0.1:1", slots=400,
                 sequence=1,
             )  # fmt: skip
             entry.view.take([state])
             for _ in range(6):
-                assert (await entry.ask())[0] == 200
+                assert (await entry.send_request())[0] == 200
             assert gone.heads == []
 
     asyncio.run(scenario())
 
 
-def test_no_repeat_without_a_budget():
+def test_no_retry_without_budget():
     async def scenario():
-        targets = pair(["silent_close"])
-        async with entry_before(
-            *targets, config=SAFE, ratio=0.0, extra=0.0
+        targets = two_targets(["silent_close"])
+        async with running_entry(
+            *targets, config=REPEATABLE, ratio=0.0, extra=0.0
         ) as entry:
-            assert (await entry.ask())[0] == 502
-            assert asked(*targets) == 1
+            assert (await entry.send_request())[0] == 502
+            assert request_count(*targets) == 1
 
     asyncio.run(scenario())
 
 
-def test_many_targets_that_refuse_connections_hide_no_good_one():
-    """Targets that have just crashed look emptiest, and are tried first."""
+def test_working_target_is_found_among_many_refusing_connections():
+    """Targets that have just crashed appear least loaded and are preferred."""
 
     async def scenario():
         dead = [FakeTarget(f"dead {n}", "whole") for n in range(8)]
         good = FakeTarget("good", "whole")
-        async with entry_before(*dead, good, config=SAFE) as entry:
+        async with running_entry(*dead, good, config=REPEATABLE) as entry:
             for target in dead:
                 target.server.close()
             (busy,) = [c for c in entry.candidates() if c.id == "good"]
             slot = entry.placer.take(busy)
-            status, _, body = await entry.ask()
+            status, _, body = await entry.send_request()
             slot.give_back()
             assert (status, body) == (200, b"good")
 
     asyncio.run(scenario())
 
 
-def test_a_repeat_that_was_not_sent_uses_up_no_budget():
+def test_unsent_retry_spends_no_budget():
     async def scenario():
         cut, dead = FakeTarget("cut", "silent_close"), FakeTarget("dead", "")
         good = FakeTarget("good", "whole")
-        async with entry_before(
-            cut, dead, good, config=SAFE, ratio=0.0, extra=1.5
+        async with running_entry(
+            cut, dead, good, config=REPEATABLE, ratio=0.0, extra=1.5
         ) as entry:
             dead.server.close()
             held = [entry.placer.take(c) for c in entry.candidates()[2:]]
             held += [entry.placer.take(c) for c in entry.candidates()[1:]]
-            status, _, body = await entry.ask()
+            status, _, body = await entry.send_request()
             for slot in held:
                 slot.give_back()
             assert (status, body) == (200, b"good")
-            assert asked(cut, dead, good) == 2
+            assert request_count(cut, dead, good) == 2
 
     asyncio.run(scenario())
 
 
-def test_a_hanging_target_is_given_up_at_the_routes_timeout():
+def test_hanging_target_is_left_at_route_timeout():
     async def scenario():
         target = FakeTarget("a", "hangs")
         config = configuration(1, route(timeout_ms=100))
-        async with entry_before(target, config=config) as entry:
-            status, _, _ = await entry.ask(x_deadline=30)
+        async with running_entry(target, config=config) as entry:
+            status, _, _ = await entry.send_request(x_deadline=30)
             assert status == 504
             assert float(target.heads[0]["x-deadline"]) <= 0.1
             await asyncio.sleep(0.1)
-            assert target.left == 1
+            assert target.disconnects == 1
 
     asyncio.run(scenario())
 
 
-def test_a_caller_that_leaves_frees_its_target():
+def test_disconnected_caller_frees_target():
     async def scenario():
         target = FakeTarget("a", "hangs")
-        async with entry_before(target, config=ONCE) as entry:
+        async with running_entry(target, config=NOT_REPEATABLE) as entry:
             _, writer = await entry.connect()
             writer.write(b"POST / HTTP/1.1\r\nHost: h\r\nX-Id: 1\r\n\r\n")
             async with asyncio.timeout(10):
                 while not target.heads:
                     await asyncio.sleep(0.01)
                 writer.close()
-                while not target.left:
+                while not target.disconnects:
                     await asyncio.sleep(0.01)
 
     asyncio.run(scenario())
 
 
-def test_a_silent_target_is_left_before_the_deadline():
+def test_silent_target_is_left_before_deadline():
     async def scenario():
-        targets = pair(["hangs"])
-        async with entry_before(*targets, config=SAFE) as entry:
-            status, _, _ = await entry.ask(x_deadline=30)
+        targets = two_targets(["hangs"])
+        async with running_entry(*targets, config=REPEATABLE) as entry:
+            status, _, _ = await entry.send_request(x_deadline=30)
             assert status == 200
-            assert asked(*targets) == 2
+            assert request_count(*targets) == 2
 
     asyncio.run(scenario())
 
@@ -230,11 +230,11 @@
 # --- Streams ---------------------------------------------------------------
 
 
-def test_a_stream_comes_whole():
+def test_stream_is_relayed_completely():
     async def scenario():
         target = FakeTarget("a", "stream")
-        async with entry_before(target, config=STREAM) as entry:
-            status, _, body = await entry.ask()
+        async with running_entry(target, config=STREAM) as entry:
+            status, _, body = await entry.send_request()
             payload, complete = unchunked(body)
             assert (status, complete) == (200, True)
             assert event_ids(payload) == list(range(1, EVENTS + 1))
@@ -243,11 +243,11 @@
 
 
 @pytest.mark.parametrize("mode", ["stream_cut", "stream_cut_within"])
-def test_a_cut_stream_goes_on_elsewhere_without_gap_or_double(mode):
+def test_cut_stream_is_resumed_without_gap_or_duplicate(mode):
     async def scenario():
-        targets = pair([mode], "stream")
-        async with entry_before(*targets, config=STREAM) as entry:
-            status, head, body = await entry.ask()
+        targets = two_targets([mode], "stream")
+        async with running_entry(*targets, config=STREAM) as entry:
+            status, head, body = await entry.send_request()
             payload, complete = unchunked(body)
             assert (status, complete) == (200, True)
             assert event_ids(payload) == list(range(1, EVENTS + 1))
@@ -259,26 +259,26 @@
     asyncio.run(scenario())
 
 
-def test_a_callers_own_place_in_a_stream_is_kept():
+def test_last_event_id_of_caller_is_forwarded():
     async def scenario():
         target = FakeTarget("a", "stream")
-        async with entry_before(target, config=STREAM) as entry:
-            _, _, body = await entry.ask(x_last=4)
+        async with running_entry(target, config=STREAM) as entry:
+            _, _, body = await entry.send_request(x_last=4)
             assert event_ids(unchunked(body)[0]) == [5, 6]
 
     asyncio.run(scenario())
 
 
-def test_a_stream_that_can_not_go_on_does_not_look_complete():
+def test_unresumable_cut_stream_does_not_look_complete():
     async def scenario():
-        targets = pair(["stream_cut_within"], "stream")
+        targets = two_targets(["stream_cut_within"], "stream")
         config = configuration(1, route(streaming=True))
-        async with entry_before(*targets, config=config) as entry:
-            _, _, body = await entry.ask()
+        async with running_entry(*targets, config=config) as entry:
+            _, _, body = await entry.send_request()
             payload, complete = unchunked(body)
             assert not complete
             assert event_ids(payload) == [1, 2, 3]
-            assert asked(*targets) == 1
+            assert request_count(*targets) == 1
 
     asyncio.run(scenario())
 
@@ -286,25 +286,27 @@
 # --- Weights ---------------------------------------------------------------
 
 
-def test_what_has_not_begun_on_old_weights_in_time_goes_to_new_ones():
-    """The old target answers nothing; the new version is soon due."""
+def test_request_not_begun_on_old_weights_moves_to_new_ones():
+    """The old target does not answer while the new version becomes due."""
 
-    def taken_back():
+    def withdrawn_count():
         name = "damask_retries_total"
         reason = {"reason": "version_due"}
         return REGISTRY.get_sample_value(name, reason) or 0
 
     async def scenario():
-        before = taken_back()
+        before = withdrawn_count()
         old, new = FakeTarget("old", "hangs"), FakeTarget("new", "stream")
         old.held = [fleet_pb2.HeldLayers(model="m", version=1)]
         config = configuration(
             1, route(streaming=True, resumable=True, timeout_ms=20_000)
         )
-        async with entry_before(
+        async with running_entry(
             old, new, config=config, weights_s=0.6
         ) as entry:
-            asking = asyncio.create_task(entry.ask(x_model="m", x_deadline=20))
+            asking = asyncio.create_task(
+                entry.send_request(x_model="m", x_deadline=20)
+            )
             async with asyncio.timeout(10):
                 while not old.heads:
                     await asyncio.sleep(0.01)
@@ -317,47 +319,48 @@
                     )
                 ]
             )  # fmt: skip
-            goal = fleet_pb2.WeightGoal(model="m", version=2, age_ms=0)
-            entry.view.apply_update(fleet_pb2.FleetUpdate(goals=[goal]))
+            desired = fleet_pb2.WeightGoal(model="m", version=2, age_ms=0)
+            entry.view.apply_update(fleet_pb2.FleetUpdate(goals=[desired]))
             status, _, body = await asking
             assert status == 200
             assert unchunked(body)[1]
-            assert old.left == 1
-            # Not for its silence, which would be noticed only later.
-            assert taken_back() == before + 1
-            status, _, _ = await entry.ask(x_model="m")
+            assert old.disconnects == 1
+            # The attempt ended for its version, not for the silence of the
+            # target, which would be detected only later.
+            assert withdrawn_count() == before + 1
+            status, _, _ = await entry.send_request(x_model="m")
             assert (status, len(old.heads)) == (200, 1)
 
     asyncio.run(scenario())
 
 
-def test_nothing_is_sent_when_connecting_took_too_long_for_old_weights():
-    """No byte has left, so even what runs once may go elsewhere."""
+def test_request_is_withheld_when_connecting_took_too_long():
+    """No byte is sent, so even a non-repeatable request may be retried."""
 
     async def scenario():
         old, new = FakeTarget("old", "whole"), FakeTarget("new", "whole")
         config = configuration(1, route())
-        async with entry_before(old, new, config=config) as entry:
+        async with running_entry(old, new, config=config) as entry:
             entry.services.may_begin = lambda s, m, target_id, c: (
                 target_id == "new"
             )
             for _ in range(8):
-                assert (await entry.ask())[0] == 200
+                assert (await entry.send_request())[0] == 200
             assert old.heads == []
             assert len(new.heads) == 8
 
     asyncio.run(scenario())
 
 
-def test_where_no_target_has_any_weights_callers_hear_it_at_once():
-    """With one staged they wait, and are served when it is loaded."""
+def test_callers_are_refused_at_once_without_any_weights():
+    """With a staged version they wait and are served once it is activated."""
 
     async def scenario():
         target = FakeTarget("a", "whole")
         config = configuration(1, route(timeout_ms=6000))
-        async with entry_before(target, config=config) as entry:
+        async with running_entry(target, config=config) as entry:
 
-            def tell(sequence, **fields):
+            def announce_agent(sequence, **fields):
                 agent = fleet_pb2.AgentState(
                     address="x:2", target_address=target.address,
                     incarnation="1", sequence=sequence, **fields,
@@ -365,73 +368,76 @@
                 entry.view.take([], [agent])
 
             loop = asyncio.get_running_loop()
-            tell(1)
+            announce_agent(1)
             began_at = loop.time()
-            status, head, _ = await entry.ask(x_model="m", x_deadline=6)
+            status, head, _ = await entry.send_request(
+                x_model="m", x_deadline=6
+            )
             assert status == 503
             assert "retry-after" in head
             assert loop.time() - began_at < 0.5
             part = fleet_pb2.HeldLayers(model="m", version=1)
-            tell(2, staged=part)
-            asking = asyncio.create_task(entry.ask(x_model="m", x_deadline=6))
+            announce_agent(2, staged=part)
+            asking = asyncio.create_task(
+                entry.send_request(x_model="m", x_deadline=6)
+            )
             await asyncio.sleep(0.6)
             assert not asking.done()
-            tell(3, staged=part, held=[part])
+            announce_agent(3, staged=part, held=[part])
             status, _, _ = await asking
             assert status == 200
 
     asyncio.run(scenario())
 
 
-def test_who_answers_at_an_address_holds_it():
-    """An entry asked for a target that had ended, and never the one there.
+def test_target_that_answers_at_an_address_owns_it():
+    """Guards against addressing all requests to a dead target's id.
 
-    A target had died without a word, and another had started at its address.
-    A late word of the first one reached an entry after the second one's, and
-    whoever is heard of first later holds an address. Every request was sent
-    for the dead one, the living one said each time that it was another, and
-    nothing came of that: the address was lost until the entry's next start,
-    and each request used an attempt on it. Evidence: a refusal with 421 moved
-    neither the book of targets nor those put aside.
+    A target had crashed and another one had started at its address. A late
+    announcement of the first one reached the entry after that of the second
+    one and took over the address. Every request was then addressed to the dead
+    target and refused by the live one with 421, which changed neither the
+    registry of targets nor the ejected ones. The address was unusable until the
+    entry restarted, and each request spent an attempt on it.
     """
 
     async def scenario():
         target = FakeTarget("new", "only_for_itself")
-        async with entry_before(target, config=SAFE) as entry:
+        async with running_entry(target, config=REPEATABLE) as entry:
             late = fleet_pb2.TargetState(
                 id="old", service="s", address=target.address,
                 slots=4, sequence=7,
             )  # fmt: skip
             entry.view.take([late])
-            status, _, body = await entry.ask()
+            status, _, body = await entry.send_request()
             assert (status, body) == (200, b"new")
-            assert asked(target) == 2
+            assert request_count(target) == 2
             entry.view.take([late])
-            assert (await entry.ask())[0] == 200
-            assert asked(target) == 3
+            assert (await entry.send_request())[0] == 200
+            assert request_count(target) == 3
 
     asyncio.run(scenario())
 
 
-def test_a_target_that_lacks_weights_is_not_taken_for_another_one():
-    """It says so in the same way as one to which a request was misdirected."""
+def test_target_without_weights_is_not_taken_for_another_one():
+    """It refuses in the same way as a target that is not the addressed one."""
 
     async def scenario():
         target = FakeTarget("other", "only_for_itself")
-        async with entry_before(target, config=SAFE) as entry:
+        async with running_entry(target, config=REPEATABLE) as entry:
             later = fleet_pb2.TargetState(
                 id="a", service="s", address=target.address, slots=4,
                 sequence=1,
             )  # fmt: skip
             entry.view.take([later])
-            entry.services.should_hold = lambda *_: False
-            assert (await entry.ask())[0] == 503
+            entry.services.is_expected_to_hold = lambda *_: False
+            assert (await entry.send_request())[0] == 503
             assert [s.id for s in entry.view.book.believed()] == ["a"]
 
     asyncio.run(scenario())
 
 
-# --- Targets that start again ------------------------------------------------
+# --- Restarted targets -------------------------------------------------------
 
 
 def started(target, born_ms, sequence=1):
@@ -441,10 +447,10 @@
     )  # fmt: skip
 
 
-def test_nothing_that_was_believed_of_an_earlier_start_holds_for_a_later_one():
+def test_state_of_earlier_start_does_not_apply_to_later_one():
     async def scenario():
         target = FakeTarget("a", "whole")
-        async with entry_before(target, config=SAFE) as entry:
+        async with running_entry(target, config=REPEATABLE) as entry:
             entry.view.take([started(target, 1000)])
             (before,) = entry.candidates()
             assert before.target_id == "a"
@@ -456,30 +462,30 @@
             assert entry.placer.fullness(after) == 0
             slot.give_back()
             assert entry.placer.fullness(after) == 0
-            assert entry.services.has_started_again(before)
-            assert not entry.services.has_started_again(after)
-            # A late word of the earlier start changes nothing of that.
+            assert entry.services.has_restarted(before)
+            assert not entry.services.has_restarted(after)
+            # A late announcement of the earlier start changes nothing.
             entry.view.take([started(target, 1000, sequence=99)])
             assert entry.candidates() == [after]
 
     asyncio.run(scenario())
 
 
-def test_a_request_at_an_earlier_start_goes_on_elsewhere():
-    """The connection stays open and silent, as after a crash behind a cut."""
+def test_request_at_earlier_start_is_retried():
+    """The connection stays open and silent, as after a crash in a partition."""
 
     async def scenario():
-        # Whatever runs at the earlier start is lost; the later one answers.
+        # Requests at the earlier start are lost; the later start answers.
         dead, sound = (
             FakeTarget("a", "hangs", "whole"),
             FakeTarget("b", "whole"),
         )
-        async with entry_before(dead, sound, config=SAFE) as entry:
+        async with running_entry(dead, sound, config=REPEATABLE) as entry:
             entry.view.take([started(dead, 1000), started(sound, 1000)])
             busy = [c for c in entry.candidates() if c.target_id == "b"]
             slots = [entry.placer.take(busy[0]) for _ in range(3)]
-            asking = asyncio.create_task(entry.ask())
-            while not asked(dead):
+            asking = asyncio.create_task(entry.send_request())
+            while not request_count(dead):
                 await asyncio.sleep(0.01)
             for slot in slots:
                 slot.give_back()
@@ -487,7 +493,7 @@
             async with asyncio.timeout(0.5):
                 status, _, _ = await asking
             assert status == 200
-            assert asked(dead, sound) == 2
+            assert request_count(dead, sound) == 2
 
     asyncio.run(scenario())
 
@@ -495,38 +501,39 @@
 # --- Configuration ---------------------------------------------------------
 
 
-def test_an_entry_that_knows_nothing_yet_says_503_never_404():
+def test_entry_without_configuration_answers_503_not_404():
     async def scenario():
-        async with entry_before() as entry:
-            status, head, _ = await entry.ask()
+        async with running_entry() as entry:
+            status, head, _ = await entry.send_request()
             assert status == 503
             assert "retry-after" in head
-            entry.view.apply_configuration(ONCE)
-            assert (await entry.ask("/a"))[0] == 503
+            entry.view.apply_configuration(NOT_REPEATABLE)
+            assert (await entry.send_request("/a"))[0] == 503
 
     asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("missing", ["everything", "targets"])
-def test_a_caller_of_an_entry_that_has_just_started_is_served(missing):
-    """All machines lost power and are back; the first view comes soon after.
+def test_caller_waits_for_first_view_after_start(missing):
+    """Guards against refusals right after a power loss of all machines.
 
-    Before: 330 requests in 1.5 s were refused as `no_configuration`, with word
-    to come back after half a second. Most callers ask twice; the second time
-    the entry had no configuration either, and they were never served.
+    Without the wait, 330 requests within 1.5 s were refused as
+    `no_configuration` with a Retry-After of half a second. Most callers try
+    twice; at the second attempt the entry had no configuration either, and
+    they were never served.
     """
 
     async def scenario():
         target = FakeTarget("a", "whole")
-        async with entry_before(target) as entry:
+        async with running_entry(target) as entry:
             known = list(entry.view.book.words())
             entry.view.book = TargetBook()
             if missing == "targets":
-                entry.view.apply_configuration(ONCE)
-            asking = asyncio.create_task(entry.ask())
+                entry.view.apply_configuration(NOT_REPEATABLE)
+            asking = asyncio.create_task(entry.send_request())
             await asyncio.sleep(0.3)
             assert not asking.done()
-            entry.view.apply_configuration(ONCE)
+            entry.view.apply_configuration(NOT_REPEATABLE)
             await asyncio.sleep(0.1)
             entry.view.take(known)
             status, _, body = await asking
@@ -535,14 +542,14 @@
     asyncio.run(scenario())
 
 
-def test_an_entry_without_a_view_for_long_refuses_at_once(monkeypatch):
-    monkeypatch.setattr(_gate, "_FIRST_VIEW_S", 0.2)
+def test_entry_without_view_after_timeout_refuses_at_once(monkeypatch):
+    monkeypatch.setattr(_gate, "_FIRST_VIEW_TIMEOUT_S", 0.2)
 
     async def scenario():
-        async with entry_before() as entry:
-            assert (await entry.ask())[0] == 503
+        async with running_entry() as entry:
+            assert (await entry.send_request())[0] == 503
             asked_at = asyncio.get_running_loop().time()
-            status, head, _ = await entry.ask()
+            status, head, _ = await entry.send_request()
             assert status == 503
             assert "retry-after" in head
             assert asyncio.get_running_loop().time() - asked_at < 0.1
@@ -550,7 +557,7 @@
     asyncio.run(scenario())
 
 
-def test_routes_and_keys_decide_in_the_newest_version_only():
+def test_newest_configuration_decides_routes_and_keys():
     async def scenario():
         target = FakeTarget("a", "whole")
         customer = fleet_pb2.Customer(name="c", keys=["k"])
@@ -558,40 +565,46 @@
         first = configuration(
             5, private, customers=[customer], keys_required=True
         )
-        async with entry_before(target, config=first) as entry:
-            assert (await entry.ask("/other"))[0] == 404
-            assert (await entry.ask("/p/x"))[0] == 401
-            assert (await entry.ask("/p/x", x_key="wrong"))[0] == 401
-            assert (await entry.ask("/p/x", x_key="k"))[0] == 200
+        async with running_entry(target, config=first) as entry:
+            assert (await entry.send_request("/other"))[0] == 404
+            assert (await entry.send_request("/p/x"))[0] == 401
+            assert (await entry.send_request("/p/x", x_key="wrong"))[0] == 401
+            assert (await entry.send_request("/p/x", x_key="k"))[0] == 200
             assert target.heads[-1]["x-customer"] == "c"
             older = configuration(4, route())
             entry.view.apply_configuration(older)
-            assert (await entry.ask("/other"))[0] == 404
+            assert (await entry.send_request("/other"))[0] == 404
             newer = configuration(6, private, keys_required=True)
             entry.view.apply_configuration(newer)
-            assert (await entry.ask("/p/x", x_key="k"))[0] == 401
+            assert (await entry.send_request("/p/x", x_key="k"))[0] == 401
 
     asyncio.run(scenario())
 
 
-def test_an_ending_entry_refuses_only_what_it_could_cut():
-    """Told to end 2.5 s ago and 5 s to go: streams of 6 s are too long."""
+def test_stopping_entry_refuses_only_requests_it_could_cut():
+    """With 5 s left, 2.5 s after the stop signal, 6 s streams are too long."""
 
     async def scenario():
         target = FakeTarget("a", "whole")
         long = route(name="long", path_prefix="/long/", timeout_ms=6000)
         short = route(name="short", path_prefix="/short/", timeout_ms=1200)
         config = configuration(1, long, short)
-        async with entry_before(target, config=config) as entry:
+        async with running_entry(target, config=config) as entry:
             entry.gate.stop(7.5)
-            status, head, _ = await entry.ask("/long/x", x_deadline="6")
+            status, head, _ = await entry.send_request(
+                "/long/x", x_deadline="6"
+            )
             assert status == 200
             assert "connection: close" in head
             await asyncio.sleep(2.6)
-            status, head, _ = await entry.ask("/long/x", x_deadline="6")
+            status, head, _ = await entry.send_request(
+                "/long/x", x_deadline="6"
+            )
             assert status == 503
             assert "retry-after" in head
-            assert (await entry.ask("/short/x", x_deadline="6"))[0] == 200
+            assert (await entry.send_request("/short/x", x_deadline="6"))[
+                0
+            ] == 200
             assert len(target.heads) == 2
 
     asyncio.run(scenario())
--- a/damaskcroft/forwarding/tests/test_fuzz_request.py
+++ b/damaskcroft/forwarding/tests/test_fuzz_request.py
@@ -1,7 +1,8 @@
-"""One caller, and targets whose answers stop at any byte.
+"""Fuzz test of one caller and two targets whose answers stop at any byte.
 
-Whatever two targets do, a caller gets a whole answer of its own or hears the
-truth: what runs once runs once, "not run" is so, and a stream has no gap.
+In every case the caller gets a complete answer to its own request or a correct
+status: a non-repeatable request runs at most once, a request reported as not
+run has not run, and a stream has no gap.
 """
 
 import asyncio
@@ -14,46 +15,46 @@
     EVENTS,
     FakeTarget,
     configuration,
-    entry_before,
     event_ids,
     route,
+    running_entry,
     unchunked,
 )
 
 _NOT_RUN = (429, 503)
 
 
-class CutTarget(FakeTarget):
-    """Gives its answer up to a byte, and closes or resets there.
+class TruncatingTarget(FakeTarget):
+    """Sends its answer up to a byte, and closes or resets there.
 
     Args:
-        name: its id, and what it answers.
-        upto: bytes that it sends; more than there are for all.
-        how: what else it does.
+        name: its id, and the content of its answer.
+        up_to: number of bytes sent; the whole answer if it is shorter.
+        behaviour: further fault that it shows.
     """
 
-    def __init__(self, name, upto, how):
+    def __init__(self, name, up_to, behaviour):
         super().__init__(name, "scripted")
-        self.upto = upto
-        self.how = how
+        self.up_to = up_to
+        self.behaviour = behaviour
         self.runs = 0
 
     async def scripted(self, head, reader, writer):
-        if self.how == "not_run":
+        if self.behaviour == "not_run":
             return await self.not_run(head, reader, writer)
         self.runs += 1
         answer = self.answer(head)
-        writer.write(answer[: self.upto])
+        writer.write(answer[: self.up_to])
         await writer.drain()
-        if self.how == "reset":
+        if self.behaviour == "reset":
             writer.transport.abort()
-        return self.upto >= len(answer) and self.how != "closes"
+        return self.up_to >= len(answer) and self.behaviour != "closes"
 
     def answer(self, head):
         ours = b"X-Id: " + head["x-id"].encode()
-        if self.how == "crossed":
+        if self.behaviour == "crossed":
             ours = b"X-Id: another"
-        status = b"500 Oops" if self.how == "fails" else b"200 OK"
+        status = b"500 Oops" if self.behaviour == "fails" else b"200 OK"
         if self.stream:
             first = int(head.get("x-last", 0)) + 1
             body = b""
@@ -89,7 +90,7 @@
 
 
 async def play(kind, first, second):
-    targets = [CutTarget("a", *first), CutTarget("b", *second)]
+    targets = [TruncatingTarget("a", *first), TruncatingTarget("b", *second)]
     streams = kind in ("stream", "resumable")
     for target in targets:
         target.stream = streams
@@ -102,8 +103,8 @@
             timeout_ms=500,
         ),
     )
-    async with entry_before(*targets, config=config) as entry:
-        status, head, body = await entry.ask()
+    async with running_entry(*targets, config=config) as entry:
+        status, head, body = await entry.send_request()
     runs = sum(target.runs for target in targets)
     if kind in ("once", "stream"):
         assert runs <= 1
@@ -118,14 +119,14 @@
     assert len(body) == length
     assert body in (b"a" * 40, b"b" * 40)
     answered = next(t for t in targets if body.startswith(t.name.encode()))
-    assert answered.how not in ("crossed", "fails", "not_run")
+    assert answered.behaviour not in ("crossed", "fails", "not_run")
 
 
 def check_stream(body):
     try:
         payload, complete = unchunked(body)
     except ValueError:
-        # Ended within the framing: it can't look complete.
+        # The body ended within the chunk framing, so it can't look complete.
         return
     numbers = event_ids(payload)
     assert numbers == list(range(1, len(numbers) + 1))
--- a/damaskcroft/forwarding/tests/test_hedged_requests.py
+++ b/damaskcroft/forwarding/tests/test_hedged_requests.py
@@ -1,4 +1,4 @@
-"""Two attempts of one request: what neither may take from the caller."""
+"""Tests of hedged requests: neither attempt may degrade the other's answer."""
 
 import asyncio
 import contextlib
@@ -11,28 +11,28 @@
 from damaskcroft.forwarding._hedge import Hedge
 from damaskcroft.forwarding.tests.fakes import (
     FakeTarget,
-    entry_before,
     event_ids,
+    running_entry,
     unchunked,
 )
 from damaskcroft.forwarding.tests.silent import (
-    ALL_IDS,
-    ask,
-    assert_whole,
+    ALL_EVENT_IDS,
+    assert_complete_stream,
     config,
+    send_request,
     stream_config,
 )
 from damaskcroft.forwarding.tests.test_quarantined import note_crashes
 
-# More than an entry reads before it gives any of it on.
+# Larger than the part of an answer that an entry buffers before relaying it.
 LARGE = b"x" * (600 * 1024)
 LARGE_EVENTS = 24
-# Linger for no time: closing sends a reset (socket(7)).
+# Linger time of zero: closing the socket sends a reset (socket(7)).
 RESET = struct.pack("ii", 1, 0)
 
 
 class Target(FakeTarget):
-    """More ways to misbehave."""
+    """Fake target with further faults."""
 
     async def large_pauses(self, head, reader, writer, status=b"200 OK"):
         writer.write(
@@ -95,8 +95,8 @@
         return await self.hangs(head, reader, writer)
 
 
-class SilentOnceKept(FakeTarget):
-    """Behind a proxy that drops what comes on connections that were kept."""
+class SilentOnReusedConnection(FakeTarget):
+    """Target behind a proxy that drops requests on reused connections."""
 
     async def serve(self, reader, writer):
         self.heads.append(head := await self.read(reader))
@@ -107,12 +107,12 @@
         writer.close()
 
 
-def test_a_large_answer_is_not_cut_for_one_that_cannot_replace_it():
+def test_large_answer_is_not_cut_for_useless_hedge():
     async def scenario():
         silent, other = Target("a", "large_pauses"), Target("b", "whole")
-        safe = config(idempotent=True)
-        async with entry_before(silent, other, config=safe) as entry:
-            status, _, body = await ask(entry, silent)
+        repeatable = config(idempotent=True)
+        async with running_entry(silent, other, config=repeatable) as entry:
+            status, _, body = await send_request(entry, silent)
             payload, complete = unchunked(body)
             assert (status, len(payload), complete) == (
                 200,
@@ -123,22 +123,24 @@
     asyncio.run(scenario())
 
 
-def test_a_stream_is_not_joined_to_a_large_refusal_of_another_target():
+def test_stream_is_not_appended_to_large_refusal():
     async def scenario():
         silent = Target("a", "large_refusal_pauses")
         other = Target("b", "stream")
-        async with entry_before(silent, other, config=stream_config()) as entry:
-            status, _, body = await ask(entry, silent)
+        async with running_entry(
+            silent, other, config=stream_config()
+        ) as entry:
+            status, _, body = await send_request(entry, silent)
             assert status == 404
             assert b"data: " not in body
 
     asyncio.run(scenario())
 
 
-def test_a_caller_that_reads_slowly_gets_no_event_twice():
+def test_slow_caller_gets_no_duplicate_event():
     async def scenario():
         targets = Target("a", "large_events"), Target("b", "large_events")
-        async with entry_before(*targets, config=stream_config()) as entry:
+        async with running_entry(*targets, config=stream_config()) as entry:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
             host, _, port = entry.address.rpartition(":")
@@ -162,39 +164,43 @@
 @pytest.mark.parametrize(
     "mode", ["refuses_late", "fails_late", "unsealed_late"]
 )
-def test_a_late_refusal_does_not_end_the_attempt_beside_it(mode):
+def test_late_refusal_does_not_end_hedged_attempt(mode):
     async def scenario():
         silent, other = Target("a", mode), Target("b", "stream_after_a_pause")
         other.pause_s = 1.0
-        async with entry_before(silent, other, config=stream_config()) as entry:
-            assert_whole(await ask(entry, silent))
+        async with running_entry(
+            silent, other, config=stream_config()
+        ) as entry:
+            assert_complete_stream(await send_request(entry, silent))
 
     asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("mode", ["head_alone", "head_cut"])
-def test_a_stream_is_not_cut_for_a_head_without_an_event(mode):
+def test_stream_is_not_cut_for_head_without_event(mode):
     async def scenario():
         silent, other = Target("a", "stream_pauses"), Target("b", mode)
-        async with entry_before(silent, other, config=stream_config()) as entry:
-            assert_whole(await ask(entry, silent))
+        async with running_entry(
+            silent, other, config=stream_config()
+        ) as entry:
+            assert_complete_stream(await send_request(entry, silent))
 
     asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("mode", ["half_a_body", "cut_body"])
-def test_a_request_is_not_failed_for_half_an_answer_of_another(mode):
+def test_request_is_not_failed_for_partial_hedged_answer(mode):
     async def scenario():
         silent, other = Target("a", "pauses"), Target("b", mode)
-        safe = config(idempotent=True)
-        async with entry_before(silent, other, config=safe) as entry:
-            status, _, body = await ask(entry, silent)
+        repeatable = config(idempotent=True)
+        async with running_entry(silent, other, config=repeatable) as entry:
+            status, _, body = await send_request(entry, silent)
             assert (status, body) == (200, b"a")
 
     asyncio.run(scenario())
 
 
-def test_a_head_without_an_event_does_not_end_the_attempt_beside_it():
+def test_head_without_event_does_not_end_hedged_attempt():
     async def scenario():
         silent, other = Target("a", "head_late"), Target("b", "")
         other.modes, other.pause_s = ["stream_after_a_pause"], 1.0
@@ -204,67 +210,72 @@
             return await silent.head_alone(head, reader, writer)
 
         silent.head_late = head_late
-        async with entry_before(silent, other, config=stream_config()) as entry:
-            assert_whole(await ask(entry, silent))
+        async with running_entry(
+            silent, other, config=stream_config()
+        ) as entry:
+            assert_complete_stream(await send_request(entry, silent))
 
     asyncio.run(scenario())
 
 
-def test_a_suspect_leaves_a_target_that_stays_silent():
+def test_suspect_request_moves_from_silent_target():
     async def scenario():
         silent, other = Target("a", "hangs"), Target("b", "whole")
-        safe = config(idempotent=True)
-        async with entry_before(silent, other, config=safe) as entry:
+        repeatable = config(idempotent=True)
+        async with running_entry(silent, other, config=repeatable) as entry:
             note_crashes(entry, 1)
-            status, _, body = await ask(entry, silent)
+            status, _, body = await send_request(entry, silent)
             assert (status, body) == (200, b"b")
 
     asyncio.run(scenario())
 
 
-def test_a_target_that_was_put_aside_is_asked_where_no_other_is_left():
+def test_ejected_target_is_used_where_no_other_is_left():
     async def scenario():
         silent, other = Target("a", "hangs"), Target("b", "whole")
-        safe = config(idempotent=True)
-        async with entry_before(silent, other, config=safe) as entry:
+        repeatable = config(idempotent=True)
+        async with running_entry(silent, other, config=repeatable) as entry:
             for _ in range(5):
                 entry.placer._outliers.failed(other.name, certain=True)
-            status, _, body = await ask(entry, silent)
+            status, _, body = await send_request(entry, silent)
             assert (status, body) == (200, b"b")
 
     asyncio.run(scenario())
 
 
-def test_an_only_target_is_asked_anew_where_a_kept_connection_is_silent():
+def test_only_target_is_retried_on_new_connection():
     async def scenario():
-        target = SilentOnceKept("a")
-        safe = config(idempotent=True)
-        async with entry_before(target, config=safe) as entry:
-            assert (await entry.ask())[0] == 200
-            status, _, body = await entry.ask(x_deadline="4")
+        target = SilentOnReusedConnection("a")
+        repeatable = config(idempotent=True)
+        async with running_entry(target, config=repeatable) as entry:
+            assert (await entry.send_request())[0] == 200
+            status, _, body = await entry.send_request(x_deadline="4")
             assert (status, body) == (200, b"a")
 
     asyncio.run(scenario())
 
 
-def test_a_second_attempt_does_not_hang_on_a_kept_connection():
+def test_hedged_attempt_uses_new_connection():
     async def scenario():
-        silent, other = SilentOnceKept("a"), SilentOnceKept("b")
-        safe = config(idempotent=True)
-        async with entry_before(silent, other, config=safe) as entry:
+        silent, other = (
+            SilentOnReusedConnection("a"),
+            SilentOnReusedConnection("b"),
+        )
+        repeatable = config(idempotent=True)
+        async with running_entry(silent, other, config=repeatable) as entry:
             for target in (silent, other):
-                assert (await ask(entry, target))[0] == 200
-            status, _, body = await ask(entry, silent)
+                assert (await send_request(entry, target))[0] == 200
+            status, _, body = await send_request(entry, silent)
             assert (status, body) == (200, b"b")
 
     asyncio.run(scenario())
 
 
-def test_a_second_attempt_that_never_began_costs_no_budget(monkeypatch):
+def test_unstarted_hedged_attempt_spends_no_budget(monkeypatch):
     begin = Hedge.begin
 
-    def begin_and_cancel(self, trial):
-        second = begin(self, trial)
+    def begin_and_cancel(self, hedged_attempt):
+        second = begin(self, hedged_attempt)
         second.cancel()
         return second
 
@@ -272,10 +283,10 @@
 
     async def scenario():
         silent, other = Target("a", "pauses"), Target("b", "whole")
-        safe = config(idempotent=True)
-        async with entry_before(silent, other, config=safe) as entry:
+        repeatable = config(idempotent=True)
+        async with running_entry(silent, other, config=repeatable) as entry:
             window = entry.gate._forwarder._retry_window
-            assert (await ask(entry, silent))[0] == 200
+            assert (await send_request(entry, silent))[0] == 200
             assert (other.heads, len(window._repeats)) == ([], 0)
 
     asyncio.run(scenario())
@@ -290,53 +301,58 @@
 )  # fmt: skip
 
 
-async def ask_two(seed, first_mode, second_mode):
-    """What is wrong with an answer of two targets, or with what is left."""
+async def request_from_two(seed, first_mode, second_mode):
+    """Hedges one request and lists faults of the answer and of the state."""
     rng = random.Random(f"{seed} {first_mode} {second_mode}")
     first, second = Target("a", first_mode), Target("b", second_mode)
     first.pause_s, second.pause_s = rng.uniform(0.8, 1.6), rng.uniform(0, 1)
-    async with entry_before(first, second, config=stream_config()) as entry:
-        status, _, body = await ask(entry, first, deadline="3")
+    async with running_entry(first, second, config=stream_config()) as entry:
+        status, _, body = await send_request(entry, first, deadline="3")
         await asyncio.sleep(0.05)
-        wrong = []
-        # The first may be left, on a busy machine, if connecting takes long.
+        faults = []
+        # On a busy machine the first target may get no request, if connecting
+        # takes long.
         ran = (first.heads and first_mode not in NOT_RUN) or (
             second.heads and second_mode not in NOT_RUN
         )
         if status == 503 and ran:
-            wrong.append("said not to have run")
+            faults.append("said not to have run")
         if status == 200:
             payload, complete = unchunked(body)
             ids = event_ids(payload)
-            if ids != ALL_IDS[: len(ids)] or complete and ids != ALL_IDS:
-                wrong.append(f"events {ids}")
+            if (
+                ids != ALL_EVENT_IDS[: len(ids)]
+                or complete
+                and ids != ALL_EVENT_IDS
+            ):
+                faults.append(f"events {ids}")
         forwarder = entry.gate._forwarder
         if any(entry.placer.fullness(c) for c in entry.candidates()):
-            wrong.append("a slot is held")
-        if forwarder._silence._seen_by_id or forwarder._running._sendings:
-            wrong.append("an attempt is still counted")
+            faults.append("a slot is held")
+        if forwarder._silence._seen_by_id or forwarder._running._dispatches:
+            faults.append("an attempt is still counted")
         arrivals = len(first.heads) + len(second.heads)
         if len(forwarder._retry_window._repeats) != max(0, arrivals - 1):
-            wrong.append("the budget is counted wrongly")
-        return wrong and (first_mode, second_mode, wrong)
+            faults.append("the budget is counted wrongly")
+        return faults and (first_mode, second_mode, faults)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_two_attempts_leave_nothing_wrong(seed):
+def test_two_attempts_leave_consistent_state(seed):
     async def scenario():
-        found = await asyncio.gather(
-            *(ask_two(seed, a, b) for a in MODES for b in MODES)
+        all_faults = await asyncio.gather(
+            *(request_from_two(seed, a, b) for a in MODES for b in MODES)
         )
-        assert [each for each in found if each] == []
+        assert [each for each in all_faults if each] == []
 
     asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("mode", ["stream_hangs", "hangs"])
-def test_a_caller_that_leaves_ends_both_attempts(mode):
+def test_disconnected_caller_ends_both_attempts(mode):
     async def scenario():
         targets = Target("a", mode), Target("b", "hangs")
-        async with entry_before(*targets, config=stream_config()) as entry:
+        async with running_entry(*targets, config=stream_config()) as entry:
             other = next(c for c in entry.candidates() if c.id == "b")
             held = entry.placer.take(other)
             _, writer = await entry.connect()
@@ -353,17 +369,19 @@
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             writer.transport.abort()
             async with asyncio.timeout(0.5):
-                while sum(target.left for target in targets) < 2:
+                while sum(target.disconnects for target in targets) < 2:
                     await asyncio.sleep(0.01)
             assert not entry.gate._forwarder._silence._seen_by_id
 
     asyncio.run(scenario())
 
 
-def test_nothing_is_sent_for_a_caller_that_has_closed_within_a_stream():
+def test_no_hedge_for_caller_that_closed_within_stream():
     async def scenario():
         silent, other = Target("a", "stream_hangs"), Target("b", "stream")
-        async with entry_before(silent, other, config=stream_config()) as entry:
+        async with running_entry(
+            silent, other, config=stream_config()
+        ) as entry:
             held = entry.placer.take(
                 next(c for c in entry.candidates() if c.id == "b")
             )
--- a/damaskcroft/forwarding/tests/test_quarantined.py
+++ b/damaskcroft/forwarding/tests/test_quarantined.py
@@ -1,4 +1,4 @@
-"""What becomes of a request that has crashed targets, wherever it is."""
+"""Tests of suspect and quarantined requests at every stage of forwarding."""
 
 import asyncio
 import contextlib
@@ -9,15 +9,15 @@
 from damaskcroft.forwarding.tests.fakes import (
     FakeTarget,
     configuration,
-    entry_before,
     event_ids,
     route,
+    running_entry,
     unchunked,
 )
 from damaskcroft.quarantine import fingerprint
 
-SAFE = configuration(1, route(idempotent=True))
-ONCE = configuration(1, route())
+REPEATABLE = configuration(1, route(idempotent=True))
+NOT_REPEATABLE = configuration(1, route())
 STREAM = configuration(1, route(streaming=True, resumable=True))
 KEYED = configuration(
     1,
@@ -31,35 +31,38 @@
 
 
 def note_crashes(entry, count, customer=""):
-    """Other entries saw the request of `Entry.ask` crash so many targets."""
-    asked = fingerprint(customer, "h", b"POST", b"/a", b"")
+    """Records that the request of `Entry.send_request` crashed `count` targets.
+
+    The crashes are those that other entries have seen.
+    """
+    digest = fingerprint(customer, "h", b"POST", b"/a", b"")
     entry.view.take(
         [],
-        crashes=[crash(f"x{n}", asked, n + 1) for n in range(count)],
+        crashes=[crash(f"x{n}", digest, n + 1) for n in range(count)],
     )
-    return asked
+    return digest
 
 
-def crash(start, asked, chain=1, service="s"):
-    suspect = quarantine_pb2.Suspect(fingerprint=asked, chain=chain)
+def crash(start, digest, chain=1, service="s"):
+    suspect = quarantine_pb2.Suspect(fingerprint=digest, chain=chain)
     return quarantine_pb2.TargetCrash(
         start_id=start, suspects=[suspect], service=service
     )
 
 
-async def until(check):
+async def wait_until(check):
     async with asyncio.timeout(5):
         while not check():
             await asyncio.sleep(0.01)
 
 
-def asked(*targets):
+def request_count(*targets):
     return sum(len(target.heads) for target in targets)
 
 
 @contextlib.asynccontextmanager
-async def under_way(asking):
-    """A request that goes on beside the block."""
+async def running(asking):
+    """Runs a request concurrently with the block."""
     task = asyncio.create_task(asking)
     try:
         yield task
@@ -67,197 +70,206 @@
         task.cancel()
 
 
-def test_it_is_refused_at_once_as_not_run_and_not_soon_again():
+def test_quarantined_request_is_refused_as_not_run_with_long_retry_after():
     async def scenario():
         target = FakeTarget("a", "whole")
-        async with entry_before(target, config=SAFE) as entry:
+        async with running_entry(target, config=REPEATABLE) as entry:
             note_crashes(entry, 3)
-            status, head, _ = await entry.ask()
+            status, head, _ = await entry.send_request()
             assert status == 503
             seconds = head.partition("retry-after: ")[2].split()[0]
             assert float(seconds) > 60
-            assert asked(target) == 0
-            assert (await entry.ask("/b"))[0] == 200
+            assert request_count(target) == 0
+            assert (await entry.send_request("/b"))[0] == 200
 
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("config", [SAFE, ONCE])
-def test_the_third_crash_ends_it_without_another_attempt(config):
+@pytest.mark.parametrize("config", [REPEATABLE, NOT_REPEATABLE])
+def test_third_crash_ends_request_without_retry(config):
     async def scenario():
         targets = [FakeTarget(name, "dies") for name in "ab"]
-        async with entry_before(*targets, config=config) as entry:
+        async with running_entry(*targets, config=config) as entry:
             note_crashes(entry, 2)
-            status, head, _ = await entry.ask()
-            # It may have run, so nobody is told that it has not.
+            status, head, _ = await entry.send_request()
+            # It may have run, so it must not be reported as not run.
             assert status == 502
             assert "retry-after" not in head
-            assert asked(*targets) == 1
-            assert (await entry.ask())[0] == 503
-            assert asked(*targets) == 1
+            assert request_count(*targets) == 1
+            assert (await entry.send_request())[0] == 503
+            assert request_count(*targets) == 1
 
     asyncio.run(scenario())
 
 
-def test_the_first_crash_leaves_its_second_attempt():
+def test_first_crash_allows_retry():
     async def scenario():
         first, second = FakeTarget("a", "dies"), FakeTarget("b", "whole")
         first.modes = second.modes = ["dies", "whole"]
-        async with entry_before(first, second, config=SAFE) as entry:
-            assert (await entry.ask())[0] == 200
-            assert asked(first, second) == 2
-            # It was cleared by its answer, whichever came to be known first.
-            await until(lambda: next(entry.view.crashes.words(), None))
+        async with running_entry(first, second, config=REPEATABLE) as entry:
+            assert (await entry.send_request())[0] == 200
+            assert request_count(first, second) == 2
+            # The answer clears the request, whether the crash or the answer is
+            # recorded first.
+            await wait_until(lambda: next(entry.view.crashes.words(), None))
             note_crashes(entry, 2)
-            assert (await entry.ask())[0] == 200
+            assert (await entry.send_request())[0] == 200
 
     asyncio.run(scenario())
 
 
-def test_what_was_answered_just_before_is_not_refused_after_three_crashes():
-    # Against ten minutes without service for what many callers send alike.
+def test_recently_answered_request_is_not_quarantined_after_three_crashes():
+    # Guards against ten minutes without service for a request that many callers
+    # send identically.
     async def scenario():
         modes = ["whole", "dies", "dies", "dies", "whole"]
         targets = [FakeTarget(name) for name in "abcde"]
         for target in targets:
             target.modes = modes
-        async with entry_before(*targets, config=SAFE) as entry:
-            assert (await entry.ask())[0] == 200
-            assert (await entry.ask())[0] == 502
-            assert (await entry.ask())[0] == 200
-            assert asked(*targets) == 5
+        async with running_entry(*targets, config=REPEATABLE) as entry:
+            assert (await entry.send_request())[0] == 200
+            assert (await entry.send_request())[0] == 502
+            assert (await entry.send_request())[0] == 200
+            assert request_count(*targets) == 5
 
     asyncio.run(scenario())
 
 
-def test_an_answer_clears_a_suspect():
+def test_answer_clears_suspect_request():
     async def scenario():
         target = FakeTarget("a", "whole")
-        async with entry_before(target, config=SAFE) as entry:
+        async with running_entry(target, config=REPEATABLE) as entry:
             suspect = note_crashes(entry, 2)
-            assert (await entry.ask())[0] == 200
+            assert (await entry.send_request())[0] == 200
             assert not entry.view.crashes.is_suspect(suspect)
 
     asyncio.run(scenario())
 
 
-def test_a_failure_that_is_answered_clears_no_suspect():
+def test_server_error_does_not_clear_suspect_request():
     async def scenario():
         target = FakeTarget("a", "fails")
-        async with entry_before(target, config=ONCE) as entry:
+        async with running_entry(target, config=NOT_REPEATABLE) as entry:
             suspect = note_crashes(entry, 2)
-            assert (await entry.ask())[0] == 500
+            assert (await entry.send_request())[0] == 500
             assert entry.view.crashes.is_suspect(suspect)
 
     asyncio.run(scenario())
 
 
-def test_an_answer_of_another_service_clears_no_suspect():
-    """A route's shares go to two services; the other one's targets crash."""
+def test_answer_of_another_service_does_not_clear_suspect_request():
+    """The route is split over two services; the other one's targets crash."""
 
     async def scenario():
         target = FakeTarget("a", "whole")
-        async with entry_before(target, config=SAFE) as entry:
+        async with running_entry(target, config=REPEATABLE) as entry:
             suspect = note_crashes(entry, 0)
             words = [crash(f"x{n}", suspect, n + 1, "t") for n in range(2)]
             entry.view.take([], crashes=words)
-            assert (await entry.ask())[0] == 200
+            assert (await entry.send_request())[0] == 200
             assert entry.view.crashes.is_suspect(suspect)
 
     asyncio.run(scenario())
 
 
-def test_what_waits_for_a_slot_is_refused_when_its_turn_comes():
+def test_queued_request_is_refused_when_quarantined_meanwhile():
     async def scenario():
         target = FakeTarget("a", "whole")
-        async with entry_before(target, config=SAFE) as entry:
+        async with running_entry(target, config=REPEATABLE) as entry:
             (candidate,) = entry.candidates()
             slots = [entry.placer.take(candidate) for _ in range(4)]
-            async with under_way(entry.ask()) as waiting:
+            async with running(entry.send_request()) as waiting:
                 await asyncio.sleep(0.1)
                 note_crashes(entry, 3)
                 for slot in slots:
                     slot.give_back()
                 status, _, _ = await waiting
             assert status == 503
-            assert asked(target) == 0
+            assert request_count(target) == 0
 
     asyncio.run(scenario())
 
 
-def test_what_a_target_has_not_begun_is_taken_back():
+def test_quarantined_request_is_withdrawn_before_target_begins():
     async def scenario():
         target = FakeTarget("a", "hangs")
-        async with entry_before(target, config=SAFE) as entry:
-            async with under_way(entry.ask()) as waiting:
-                await until(lambda: asked(target))
+        async with running_entry(target, config=REPEATABLE) as entry:
+            async with running(entry.send_request()) as waiting:
+                await wait_until(lambda: request_count(target))
                 note_crashes(entry, 3)
                 status, _, _ = await waiting
             assert status == 502
-            await until(lambda: target.left)
+            await wait_until(lambda: target.disconnects)
 
     asyncio.run(scenario())
 
 
-def test_a_stream_that_crashed_its_target_is_not_resumed_then():
+def test_quarantined_stream_is_not_resumed():
     async def scenario():
         targets = [FakeTarget(name, "streams_and_dies") for name in "ab"]
-        async with entry_before(*targets, config=STREAM) as entry:
+        async with running_entry(*targets, config=STREAM) as entry:
             note_crashes(entry, 2)
-            status, _, body = await entry.ask()
+            status, _, body = await entry.send_request()
             payload, complete = unchunked(body)
             assert (status, complete) == (200, False)
             assert event_ids(payload) == [1, 2, 3]
-            assert asked(*targets) == 1
+            assert request_count(*targets) == 1
 
     asyncio.run(scenario())
 
 
-def test_the_same_request_of_another_customer_is_served():
+def test_same_request_of_another_customer_is_served():
     async def scenario():
         target = FakeTarget("a", "whole")
-        async with entry_before(target, config=KEYED) as entry:
+        async with running_entry(target, config=KEYED) as entry:
             note_crashes(entry, 3, customer="c1")
-            assert (await entry.ask(x_key="k1"))[0] == 503
-            assert (await entry.ask(x_key="k2"))[0] == 200
+            assert (await entry.send_request(x_key="k1"))[0] == 503
+            assert (await entry.send_request(x_key="k2"))[0] == 200
 
     asyncio.run(scenario())
 
 
-def test_suspects_are_sent_where_no_other_suspect_runs():
+def test_suspect_requests_run_on_different_targets():
     async def scenario():
         targets = [FakeTarget(name, "hangs") for name in "abc"]
-        async with entry_before(*targets, config=ONCE) as entry:
+        async with running_entry(*targets, config=NOT_REPEATABLE) as entry:
             other = fingerprint("", "h", b"POST", b"/b", b"")
             note_crashes(entry, 1)
             entry.view.take([], crashes=[crash("y", other)])
-            async with under_way(entry.ask("/a")), under_way(entry.ask("/b")):
-                await until(lambda: asked(*targets) == 2)
-                async with under_way(entry.ask("/c")):
-                    await until(lambda: asked(*targets) == 3)
-                    assert [asked(target) for target in targets] == [1, 1, 1]
+            async with (
+                running(entry.send_request("/a")),
+                running(entry.send_request("/b")),
+            ):
+                await wait_until(lambda: request_count(*targets) == 2)
+                async with running(entry.send_request("/c")):
+                    await wait_until(lambda: request_count(*targets) == 3)
+                    assert [request_count(target) for target in targets] == [
+                        1,
+                        1,
+                        1,
+                    ]
 
     asyncio.run(scenario())
 
 
-def test_what_is_lost_with_its_target_is_a_suspect_at_its_next_attempt():
+def test_request_lost_in_crash_is_suspect_on_retry():
     async def scenario():
         modes = ["dies", "hangs"]
         targets = [FakeTarget(name) for name in "abc"]
         for target in targets:
             target.modes = modes
-        async with entry_before(*targets, config=SAFE) as entry:
-            async with under_way(entry.ask("/a")):
-                await until(lambda: asked(*targets) == 2)
-                (free,) = [t for t in targets if not asked(t)]
+        async with running_entry(*targets, config=REPEATABLE) as entry:
+            async with running(entry.send_request("/a")):
+                await wait_until(lambda: request_count(*targets) == 2)
+                (free,) = [t for t in targets if not request_count(t)]
                 (candidate,) = [
                     c for c in entry.candidates() if c.target_id == free.name
                 ]
                 slots = [entry.placer.take(candidate) for _ in range(2)]
-                # Fuller, but no suspect runs there.
-                async with under_way(entry.ask("/b")):
-                    await until(lambda: asked(*targets) == 3)
-                    assert asked(free) == 1
+                # This target has a higher load but runs no suspect request.
+                async with running(entry.send_request("/b")):
+                    await wait_until(lambda: request_count(*targets) == 3)
+                    assert request_count(free) == 1
                 for slot in slots:
                     slot.give_back()
 
--- a/damaskcroft/forwarding/tests/test_services.py
+++ b/damaskcroft/forwarding/tests/test_services.py
@@ -1,4 +1,4 @@
-"""Which targets may still be asked when weights change."""
+"""Tests of the targets that may be used around a change of weights."""
 
 import asyncio
 
@@ -21,14 +21,14 @@
 
 
 def guard(view, *names, started=0, **fields):
-    """Agents beside targets tell, not for the first time, what they guard."""
-    goal = fleet_pb2.WeightGoal(model="m", version=2)
+    """Announces guards of agents twice, because the first one counts as old."""
+    desired = fleet_pb2.WeightGoal(model="m", version=2)
     for sequence in (1, 2):
         agents = [
             fleet_pb2.AgentState(
                 address=f"agent-{name}:1", target_address=f"{name}:1",
                 sequence=sequence, started=started, incarnation="1",
-                held=[held(1)], guarded=[goal], **fields,
+                held=[held(1)], guarded=[desired], **fields,
             )
             for name in names
         ]  # fmt: skip
@@ -39,8 +39,8 @@
     return {candidate.id for candidate in services.candidates("s", "m")}
 
 
-def test_a_target_that_answers_late_is_left_earlier_before_a_change():
-    """Behind a narrow link, what is sent now arrives a second later."""
+def test_slow_target_is_left_earlier_before_weight_change():
+    """Behind a narrow link a request arrives about a second after sending."""
 
     async def scenario():
         view = FleetView()
@@ -49,32 +49,32 @@
         delay_by_id = {"near": 0.05, "narrow": 0.9}
         services = Services(view, {}, 8.0, lambda id: delay_by_id[id])
 
-        def name_version(age_s):
-            goal = fleet_pb2.WeightGoal(
+        def announce_version(age_s):
+            desired = fleet_pb2.WeightGoal(
                 model="m", version=2, age_ms=int(age_s * 1000)
             )
             view.goal_by_model.clear()
             view.goal_since_by_model.clear()
-            view.apply_update(fleet_pb2.FleetUpdate(goals=[goal]))
+            view.apply_update(fleet_pb2.FleetUpdate(goals=[desired]))
 
-        name_version(5.5)
+        announce_version(5.5)
         assert ids(services) == {"near", "narrow"}
-        name_version(6.0)
+        announce_version(6.0)
         assert ids(services) == {"near"}
-        name_version(7.5)
+        announce_version(7.5)
         assert ids(services) == set()
 
     asyncio.run(scenario())
 
 
-def test_connecting_that_took_long_makes_a_request_too_late():
+def test_slow_connecting_makes_request_too_late():
     async def scenario():
         view = FleetView()
         view.take([target("a", 1)])
         guard(view, "a")
         services = Services(view, {}, 8.0)
-        goal = fleet_pb2.WeightGoal(model="m", version=2, age_ms=7300)
-        view.apply_update(fleet_pb2.FleetUpdate(goals=[goal]))
+        desired = fleet_pb2.WeightGoal(model="m", version=2, age_ms=7300)
+        view.apply_update(fleet_pb2.FleetUpdate(goals=[desired]))
         assert services.may_begin("s", "m", "a", 0.01)
         assert not services.may_begin("s", "m", "a", 0.4)
         assert services.may_begin("s", "", "a", 0.4)
@@ -82,8 +82,8 @@
     asyncio.run(scenario())
 
 
-def test_a_target_whose_agent_tells_of_a_narrow_link_is_left_earlier():
-    """The entry's own answers from it were quick until now."""
+def test_target_behind_narrow_link_is_left_earlier():
+    """Even though the answers that this entry got from it were quick so far."""
 
     async def scenario():
         view = FleetView()
@@ -91,8 +91,8 @@
         guard(view, "a", link_delay_ms=500)
         guard(view, "b")
         services = Services(view, {}, 8.0, lambda _: 0.05)
-        goal = fleet_pb2.WeightGoal(model="m", version=2, age_ms=7000)
-        view.apply_update(fleet_pb2.FleetUpdate(goals=[goal]))
+        desired = fleet_pb2.WeightGoal(model="m", version=2, age_ms=7000)
+        view.apply_update(fleet_pb2.FleetUpdate(goals=[desired]))
         assert ids(services) == {"b"}
         assert not services.may_begin("s", "m", "a", 0.0)
         assert services.may_begin("s", "m", "b", 0.0)
@@ -100,28 +100,28 @@
     asyncio.run(scenario())
 
 
-def test_a_target_that_nobody_guards_is_left_in_good_time():
-    """Silence of the agent beside it is no sign of health.
+def test_unguarded_target_is_left_earlier():
+    """Guards against relying on an agent that has announced no guard.
 
-    An agent that is away, or has heard nothing of a new version, refuses
-    nothing; requests took 1.24 s to such a target while the last answer seen
-    had taken 0.35 s.
+    An agent that is absent, or has not received the new version, refuses no
+    request. Requests took 1.24 s to reach such a target while its last observed
+    answer had taken 0.35 s.
     """
 
     async def scenario():
         view = FleetView()
         view.take([target("a", 1)])
         services = Services(view, {}, 8.0, lambda _: 0.05)
-        goal = fleet_pb2.WeightGoal(model="m", version=2, age_ms=5500)
-        view.apply_update(fleet_pb2.FleetUpdate(goals=[goal]))
+        desired = fleet_pb2.WeightGoal(model="m", version=2, age_ms=5500)
+        view.apply_update(fleet_pb2.FleetUpdate(goals=[desired]))
         assert ids(services) == set()
         assert not services.may_begin("s", "m", "a", 0.0)
 
     asyncio.run(scenario())
 
 
-def test_a_guard_of_an_older_version_is_none_for_a_newer_one():
-    """A second version follows, and the agent has not heard of it yet."""
+def test_guard_of_older_version_does_not_cover_newer_one():
+    """A second version follows that the agent has not received yet."""
 
     async def scenario():
         view = FleetView()
@@ -129,10 +129,10 @@
         guard(view, "a")
         services = Services(view, {}, 8.0)
         for version, age_ms in ((2, 5500), (3, 5200)):
-            goal = fleet_pb2.WeightGoal(
+            desired = fleet_pb2.WeightGoal(
                 model="m", version=version, age_ms=age_ms
             )
-            view.apply_update(fleet_pb2.FleetUpdate(goals=[goal]))
+            view.apply_update(fleet_pb2.FleetUpdate(goals=[desired]))
         assert ids(services) == set()
         guard(view, "a", started=1)
         assert ids(services) == set()
@@ -142,15 +142,15 @@
     asyncio.run(scenario())
 
 
-def test_a_guard_that_is_not_told_again_is_none(loop):
-    """Its agent may have ended, and its last word may be as old as that."""
+def test_guard_expires_without_renewed_announcement(loop):
+    """The agent may have ended since its last announcement."""
 
     async def scenario():
         view = FleetView()
         view.take([target("a", 1)])
         services = Services(view, {}, 8.0)
-        goal = fleet_pb2.WeightGoal(model="m", version=2, age_ms=4000)
-        view.apply_update(fleet_pb2.FleetUpdate(goals=[goal]))
+        desired = fleet_pb2.WeightGoal(model="m", version=2, age_ms=4000)
+        view.apply_update(fleet_pb2.FleetUpdate(goals=[desired]))
         guard(view, "a")
         await asyncio.sleep(1.5)
         assert ids(services) == {"a"}
@@ -162,21 +162,21 @@
     loop.run(scenario())
 
 
-def test_the_first_word_heard_of_an_agent_guards_nothing():
-    """An entry that has just started may hear the last word of a dead one."""
+def test_first_announcement_of_agent_is_no_guard():
+    """A new entry may receive the last announcement of a dead agent."""
 
     async def scenario():
         view = FleetView()
         view.take([target("a", 1)])
-        word = fleet_pb2.AgentState(
+        state = fleet_pb2.AgentState(
             address="agent-a:1", target_address="a:1", sequence=9,
             incarnation="1", held=[held(1)],
             guarded=[fleet_pb2.WeightGoal(model="m", version=2)],
         )  # fmt: skip
-        view.take([], [word])
+        view.take([], [state])
         services = Services(view, {}, 8.0)
-        goal = fleet_pb2.WeightGoal(model="m", version=2, age_ms=5500)
-        view.apply_update(fleet_pb2.FleetUpdate(goals=[goal]))
+        desired = fleet_pb2.WeightGoal(model="m", version=2, age_ms=5500)
+        view.apply_update(fleet_pb2.FleetUpdate(goals=[desired]))
         assert ids(services) == set()
 
     asyncio.run(scenario())
@@ -199,7 +199,7 @@
         ({"staged": fleet_pb2.HeldLayers(model="other", version=2)}, False),
     ],
 )
-def test_waiting_is_in_vain_where_no_target_has_anything(fields, may):
+def test_no_wait_where_no_target_has_a_copy(fields, may):
     view = FleetView()
     services = Services(view, {}, 8.0)
     empty = [
@@ -208,7 +208,7 @@
     ]
     assert not services.may_serve_soon("s", "m")
     view.take(empty)
-    # Nobody has heard what lies beside them.
+    # The versions at their agents are unknown.
     assert services.may_serve_soon("s", "m")
     view.take([], [agent_beside("a"), agent_beside("b", **fields)])
     assert services.may_serve_soon("s", "m") == may
@@ -227,7 +227,9 @@
         ({}, False),
     ],
 )
-def test_who_has_given_up_its_weights_should_hold_none(fields, holds):
+def test_target_that_unloaded_weights_is_not_expected_to_hold_them(
+    fields, holds
+):
     view = FleetView()
     engine = fleet_pb2.EngineProfile(layers=4)
     view.apply_configuration(
@@ -237,19 +239,19 @@
     )
     services = Services(view, {}, 8.0)
     view.take([target("a", 1)], [agent_beside("a", **fields)])
-    assert services.should_hold("s", "m", "a") == holds
-    assert services.should_hold("s", "", "a")
-    assert not services.should_hold("s", "", "b")
+    assert services.is_expected_to_hold("s", "m", "a") == holds
+    assert services.is_expected_to_hold("s", "", "a")
+    assert not services.is_expected_to_hold("s", "", "b")
 
 
-def test_whose_weights_are_about_to_be_given_up_should_hold_none():
+def test_target_about_to_unload_weights_is_not_expected_to_hold_them():
     async def scenario():
         view = FleetView()
         services = Services(view, {}, 8.0)
         view.take([target("a", 1)])
-        assert services.should_hold("s", "m", "a")
-        goal = fleet_pb2.WeightGoal(model="m", version=2, age_ms=7700)
-        view.apply_update(fleet_pb2.FleetUpdate(goals=[goal]))
-        assert not services.should_hold("s", "m", "a")
+        assert services.is_expected_to_hold("s", "m", "a")
+        desired = fleet_pb2.WeightGoal(model="m", version=2, age_ms=7700)
+        view.apply_update(fleet_pb2.FleetUpdate(goals=[desired]))
+        assert not services.is_expected_to_hold("s", "m", "a")
 
     asyncio.run(scenario())
