--- a/damaskcroft/agent/__init__.py
+++ b/damaskcroft/agent/__init__.py
@@ -1,4 +1,4 @@
-"""The process beside each target: its gate, its orders, its weights."""
+"""Agent process beside each target: admission, orders and weight staging."""
 
 from damaskcroft.agent._chunk_service import ChunkService
 from damaskcroft.agent._chunks import ChunkServer
--- a/damaskcroft/agent/_activation.py
+++ b/damaskcroft/agent/_activation.py
@@ -1,4 +1,7 @@
-"""Carries assignments out at the target: the only giver of its orders."""
+"""Execution of assignments at the target.
+
+The activator is the only component that sends orders to the target.
+"""
 
 import asyncio
 
@@ -23,29 +26,29 @@
 
 _POLL_S = 0.05
 _RETRY_S = 0.5
-# A load that has neither ended nor failed by then is ordered once more, since a
-# target that was started again has forgotten the order: as long as an order's
-# answer is waited for by default (`order_timeout_s`).
-_LOAD_AGAIN_S = 60.0
+# A load that has neither ended nor failed after this time is ordered again,
+# because a restarted target has lost the order. It equals the default time-out
+# of an order's answer (`order_timeout_s`).
+_LOAD_TIMEOUT_S = 60.0
 
 
 class Activator:
-    """Brings the target to what the newest assignment says.
+    """Brings the target to the state of the newest assignment.
 
     Attributes:
-        failure: why the target can't serve what it was ordered to, or empty.
+        failure: why the target can't serve the assigned version, or empty.
         held_up: why the order is not carried out yet.
 
     Args:
-        own_id: this agent.
+        own_id: id of this agent.
         client: lease and roster.
-        gate: shut while the target changes versions.
+        gate: closed while the target changes versions.
         engine: the target.
-        stager: gets the files.
-        store: where they are.
+        stager: fetches the files.
+        store: holds the files.
     """
 
-    # Set by the lifecycle machine below.
+    # Set by the state machine below.
     state: str
 
     def __init__(
@@ -57,7 +60,7 @@
         stager: Stager,
         store: ChunkStore,
     ):
-        """See the class."""
+        """Starts idle, with no assignment settled."""
         self._own_id = own_id
         self._client = client
         self._gate = gate
@@ -66,7 +69,7 @@
         self._store = store
         self.failure = ""
         self.held_up = HeldUp()
-        self._done_fencing = 0
+        self._settled_fencing = 0
         self._machine = Machine(
             model=self,
             states=["idle", "activating", "serving", "failed"],
@@ -81,21 +84,21 @@
         )
 
     def phase(self) -> control_pb2.Phase:
-        """What the report says of this target."""
+        """Returns the target's phase for the report to control."""
         if self.state == "activating":
             return control_pb2.PHASE_ACTIVATING
         if self.state == "serving":
             return control_pb2.PHASE_SERVING
         if self.state == "failed":
             return control_pb2.PHASE_FAILED
-        if not self._stager.wanted_manifest:
+        if not self._stager.desired_manifest:
             return control_pb2.PHASE_IDLE
-        if self._stager.staged_manifest == self._stager.wanted_manifest:
+        if self._stager.staged_manifest == self._stager.desired_manifest:
             return control_pb2.PHASE_STAGED
         return control_pb2.PHASE_FETCHING
 
     async def run(self) -> None:
-        """Follows the assignments until cancelled."""
+        """Carries out the newest assignment, until cancelled."""
         async with background(self.held_up.tell):
             while True:
                 assignment = await self._next_assignment()
@@ -103,8 +106,8 @@
                 self._client.report_soon()
                 done = await self._carry_out(assignment)
                 if done:
-                    self._done_fencing = assignment.fencing
-                    self.held_up.by_nothing()
+                    self._settled_fencing = assignment.fencing
+                    self.held_up.clear_reason()
                 self._client.report_soon()
 
     async def _next_assignment(self) -> control_pb2.Assignment:
@@ -114,21 +117,21 @@
             )
             if (
                 assignment is not None
-                and assignment.fencing > self._done_fencing
+                and assignment.fencing > self._settled_fencing
                 and self._client.lease.is_held
             ):
                 return assignment
             await asyncio.sleep(_POLL_S)
 
     async def _carry_out(self, assignment: control_pb2.Assignment) -> bool:
-        """Returns whether the assignment is settled, for good or ill."""
+        """Returns whether the assignment is settled, by success or failure."""
         state = await self._state()
         if state is None:
             return False
         if not assignment.manifest:
             return await self._withdraw(assignment)
         if state.active == assignment.manifest:
-            # Read back after a restart: the order was carried out before.
+            # The order was carried out before this agent restarted.
             self._open(assignment)
             return True
         if not await self._wait_staged(assignment):
@@ -144,20 +147,20 @@
             await self._shut_and_drain()
         if not await self._load(order, state):
             if state.active and state.active == before[2]:
-                # The old version is still there: better than nothing.
+                # The old version is still loaded and continues to serve.
                 self._gate.open(*before)
             return self.state == "failed"
         await self._shut_and_drain()
         return await self._activate(order)
 
     async def _state(self) -> EngineState | None:
-        """The target's state; None, after a pause, if it can't be reached."""
+        """Returns the target's state; None, after a pause, if unreachable."""
         state = await self._engine.state()
         if isinstance(state, EngineState):
             if self.held_up.reason == control_pb2.HELD_UP_TARGET_UNREACHABLE:
-                self.held_up.by_nothing()
+                self.held_up.clear_reason()
             return state
-        self.held_up.by(control_pb2.HELD_UP_TARGET_UNREACHABLE)
+        self.held_up.set_reason(control_pb2.HELD_UP_TARGET_UNREACHABLE)
         self._client.report_soon()
         await asyncio.sleep(_RETRY_S)
         return None
@@ -173,7 +176,7 @@
         return True
 
     async def _wait_staged(self, assignment: control_pb2.Assignment) -> bool:
-        with self.held_up.waiting(control_pb2.HELD_UP_WEIGHTS_MISSING):
+        with self.held_up.delayed_by(control_pb2.HELD_UP_WEIGHTS_MISSING):
             while True:
                 digest = assignment.manifest
                 version = self._store.versions_by_digest.get(digest)
@@ -184,10 +187,10 @@
                 await asyncio.sleep(_POLL_S)
 
     async def _shut_and_drain(self) -> None:
-        """Nothing new comes in, and all that is running ends first."""
+        """Closes the gate and waits until no request is running."""
         self._gate.shut()
         self._client.report_soon()
-        with self.held_up.waiting(control_pb2.HELD_UP_REQUESTS_UNENDED):
+        with self.held_up.delayed_by(control_pb2.HELD_UP_REQUESTS_UNENDED):
             await self._gate.wait_idle()
 
     async def _load(self, order: LoadOrder, state: EngineState) -> bool:
@@ -195,40 +198,41 @@
             return True
         outcome = await self._engine.load(order)
         if isinstance(outcome, OrderRefused):
-            return self._fail_with(order, outcome.reason)
+            return self._record_failure(order, outcome.reason)
         if not isinstance(outcome, OrderAccepted):
             await self._note_order_failed("load", outcome.reason)
             return False
-        with self.held_up.waiting(control_pb2.HELD_UP_LOAD_UNENDED):
+        with self.held_up.delayed_by(control_pb2.HELD_UP_LOAD_UNENDED):
             return await self._wait_loaded(order)
 
     async def _wait_loaded(self, order: LoadOrder) -> bool:
         manifest = order.assignment.manifest
         ordered_at = now_s()
-        while now_s() - ordered_at < _LOAD_AGAIN_S:
+        while now_s() - ordered_at < _LOAD_TIMEOUT_S:
             state = await self._state()
             if state is None:
                 return False
             if manifest in state.loaded:
                 return True
             if manifest in state.failed:
-                return self._fail_with(order, state.failed[manifest])
+                return self._record_failure(order, state.failed[manifest])
             await asyncio.sleep(_POLL_S)
         log_warning("load_ordered_again", after_s=now_s() - ordered_at)
         return False
 
     async def _note_order_failed(self, order: str, reason: str) -> None:
-        """Notes an order without an answer; it is given again after a pause."""
-        self.held_up.by(control_pb2.HELD_UP_ORDER_FAILED)
+        """Records an unanswered order and pauses before it is sent again."""
+        self.held_up.set_reason(control_pb2.HELD_UP_ORDER_FAILED)
         log_event("order_failed", order=order, reason=reason)
         await asyncio.sleep(_RETRY_S)
 
     async def _activate(self, order: LoadOrder) -> bool:
         outcome = await self._engine.activate(order)
         if isinstance(outcome, OrderRefused):
-            self._fail_with(order, outcome.reason)
+            self._record_failure(order, outcome.reason)
             return True
-        # Whatever the answer was: only what is read back counts.
+        # Whatever the answer was, only the state that is read back counts,
+        # because an order may be lost or take effect without an answer.
         state = await self._state()
         if state is None:
             return False
@@ -252,7 +256,7 @@
             "serving", version=assignment.version, fencing=assignment.fencing
         )
 
-    def _fail_with(self, order: LoadOrder, reason: str) -> bool:
+    def _record_failure(self, order: LoadOrder, reason: str) -> bool:
         self.failure = reason
         self.fail()  # type: ignore[attr-defined]
         log_warning(
@@ -273,7 +277,7 @@
 
 
 def _served_name(assignment: control_pb2.Assignment) -> str:
-    """What callers name: the model, or the model and its adapter."""
+    """Returns the name in requests: the model, or model and adapter."""
     if not assignment.adapter:
         return assignment.model
     return f"{assignment.model}:{assignment.adapter}"
--- a/damaskcroft/agent/_chunk_service.py
+++ b/damaskcroft/agent/_chunk_service.py
@@ -1,4 +1,4 @@
-"""The gRPC face of an agent towards other agents."""
+"""gRPC service of an agent for other agents."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 
 class ChunkService(agent_grpc.ChunksBase):
-    """Answers other agents."""
+    """Serves chunks, manifests and gossip about held chunks."""
 
     def __init__(self, chunks: ChunkServer):
         """Serves the chunks that this agent holds."""
@@ -26,6 +26,6 @@
         await stream.send_message(agent_pb2.ManifestReply(content=content))
 
     async def Exchange(self, stream: Any) -> None:  # noqa: N802
-        """Hears what another agent holds and knows, and says the same."""
+        """Exchanges gossip about the chunks that both agents hold and know."""
         rumour = await stream.recv_message()
         await stream.send_message(self._chunks.exchange(rumour))
--- a/damaskcroft/agent/_chunks.py
+++ b/damaskcroft/agent/_chunks.py
@@ -1,4 +1,8 @@
-"""Gives chunks to other agents, at the pace of this machine's link."""
+"""Upload of chunks to other agents, paced by the rate of this machine's link.
+
+A full link would delay the answers to callers that share it, so parts are small
+enough that an answer waits only briefly behind one.
+"""
 
 import asyncio
 from typing import Any
@@ -15,24 +19,26 @@
     packed,
 )
 
-# A part takes about as long on the sender's link as callers' answers may wait
-# behind it, and a window of eight covers round trips between regions.
+# Time that a part takes on the sender's link: about as long as an answer to a
+# caller may wait behind it. A window of eight parts covers round trips between
+# regions.
 _PART_S = 0.018
 _MIN_PART_BYTES = 8 * 1024
 _MAX_PART_BYTES = 256 * 1024
 _MAX_WAIT_S = 10.0
-_REASSURE_S = 0.5
+_BUSY_INTERVAL_S = 0.5
 
 
 class ChunkServer:
     """Answers chunk requests from the store.
 
     Args:
-        store: where chunks are.
-        pacer: paces what goes out.
-        parallel_uploads: chunks sent at once; further ones wait.
-        counts: where bytes are counted.
-        rate: sets the pacer by what receivers tell; None leaves it alone.
+        store: chunk store of this agent.
+        pacer: paces uploads.
+        parallel_uploads: number of chunks sent at once; further ones wait.
+        counts: byte counters.
+        rate: adjusts the pacer by the queueing delays that receivers report;
+            None leaves the pacer unchanged.
     """
 
     def __init__(
@@ -43,7 +49,7 @@
         counts: BurstCounts,
         rate: UploadRate | None = None,
     ):
-        """See the class."""
+        """Starts with all upload slots free."""
         self._rate = rate
         self._store = store
         self._pacer = pacer
@@ -53,23 +59,24 @@
     async def send_chunk(
         self, request: agent_pb2.ChunkRequest, stream: Any
     ) -> None:
-        """Sends a chunk in parts, or says why not."""
+        """Sends a chunk in parts, or the reason why it can't be sent."""
         version = self._store.versions_by_digest.get(request.manifest)
         if version is None:
-            await self._tell(stream, agent_pb2.CHUNK_UNKNOWN_MANIFEST)
+            await self._send_outcome(stream, agent_pb2.CHUNK_UNKNOWN_MANIFEST)
             return
         index = version.index_by_digest.get(request.digest)
         if index is None:
-            await self._tell(stream, agent_pb2.CHUNK_UNKNOWN_MANIFEST)
+            await self._send_outcome(stream, agent_pb2.CHUNK_UNKNOWN_MANIFEST)
             return
         version.holdings.note(request.requester, request.held, request.known)
         wait_s = min(request.wait_ms / 1000, _MAX_WAIT_S)
         if not await version.wait_for_chunk(index, wait_s):
-            await self._tell(stream, agent_pb2.CHUNK_NOT_HELD, version)
+            await self._send_outcome(stream, agent_pb2.CHUNK_NOT_HELD, version)
             return
         await self._wait_for_slot(stream)
         try:
-            # Checked when it was written; the receiver checks it again.
+            # The chunk was verified when it was written, and the receiver
+            # verifies it again.
             data = version.read_chunk(index)
             await self._send(stream, data, version, request.requester)
         except TimeoutError:
@@ -79,7 +86,7 @@
             self._slots.release()
 
     def exchange(self, rumour: agent_pb2.Rumour) -> agent_pb2.Rumour:
-        """Takes another agent's word on a version; gives this one's."""
+        """Records another agent's holdings of a version; returns this one's."""
         version = self._store.versions_by_digest.get(rumour.manifest)
         if version is None:
             return agent_pb2.Rumour(manifest=rumour.manifest)
@@ -91,12 +98,12 @@
         )
 
     def manifest(self, digest: str, path: str = "") -> bytes:
-        """A held version's manifest, or nothing.
+        """Returns a held version's manifest, or empty bytes.
 
         Args:
-            digest: its name, or empty.
-            path: where outside sources keep the version, if that is all
-                that the asking agent knows of it.
+            digest: digest of the manifest, or empty.
+            path: path of the version at outside sources, for a requester that
+                doesn't know the digest.
         """
         version = self._store.versions_by_digest.get(digest)
         if version is None and path:
@@ -104,13 +111,15 @@
         return version.content if version is not None else b""
 
     async def _wait_for_slot(self, stream: Any) -> None:
-        """Takes a slot; tells the waiting receiver that it isn't forgotten."""
-        taking = asyncio.ensure_future(self._slots.acquire())
+        """Acquires a slot; sends "busy" to the receiver at intervals."""
+        acquiring = asyncio.ensure_future(self._slots.acquire())
         try:
-            while not (await asyncio.wait([taking], timeout=_REASSURE_S))[0]:
-                await self._tell(stream, agent_pb2.CHUNK_BUSY)
+            while not (
+                await asyncio.wait([acquiring], timeout=_BUSY_INTERVAL_S)
+            )[0]:
+                await self._send_outcome(stream, agent_pb2.CHUNK_BUSY)
         except BaseException:
-            if not taking.cancel():
+            if not acquiring.cancel():
                 self._slots.release()
             raise
 
@@ -134,10 +143,11 @@
             )
         )
         for start in starts:
-            # A receiver that asks for nothing must not hold the slot for long.
+            # A receiver that stops asking must not occupy the slot for long.
             async with asyncio.timeout(_MAX_WAIT_S):
                 ask = await stream.recv_message()
-                # The first part's question can't tell of an earlier one.
+                # The request for the first part carries no queueing delay,
+                # because no earlier part has been sent.
                 if self._rate is not None and ask is not None and start:
                     self._rate.heard(receiver, ask.queued_ms / 1000)
                 part = data[start : start + part_bytes]
@@ -152,7 +162,7 @@
             self._counts.sent_bytes += len(part)
             metrics.BURST_BYTES.labels("sent").inc(len(part))
 
-    async def _tell(
+    async def _send_outcome(
         self,
         stream: Any,
         outcome: agent_pb2.ChunkOutcome,
--- a/damaskcroft/agent/_fleet_agent.py
+++ b/damaskcroft/agent/_fleet_agent.py
@@ -1,4 +1,4 @@
-"""What an agent of a fleet tells the others about itself and its target."""
+"""Announcement of the state of an agent and its target to the fleet."""
 
 import asyncio
 import contextlib
@@ -15,22 +15,24 @@
 
 __all__ = ["FleetAgent"]
 
-_TELL_TIMEOUT_S = 0.5
+_ANNOUNCE_TIMEOUT_S = 0.5
 _NS_IN_MS = 1_000_000
-# Delays of the link are told in steps, so that a word is needed seldom. A part
-# of 8 KiB takes 18 ms on a link of 3.65 Mbit/s and up to 0.2 s behind others.
+# Link delays are rounded down to these steps, so that they rarely require an
+# announcement. A part of 8 KiB takes 18 ms on a link of 3.65 Mbit/s, and up to
+# 0.2 s behind other parts.
 _DELAY_STEPS_MS = (0, 250, 500, 1000)
 
 
 class FleetAgent:
-    """This agent's state, told to every control node when it changes.
+    """This agent's state, announced to every control node when it changes.
 
     Args:
-        settings: where this agent stands.
-        view: what it knows of the fleet.
-        channels: to control nodes.
-        quickest_part_s: what parts of weights take at least to come.
-        guarded_goals: see `AgentState.guarded`.
+        settings: addresses, failure domain, region and service of this agent.
+        view: this agent's view of the fleet.
+        channels: channels to control nodes.
+        min_part_s: returns the recent minimum transfer time of a part of
+            weights.
+        guarded_goals: returns the versions for `AgentState.guarded`.
     """
 
     def __init__(
@@ -38,18 +40,18 @@
         settings: NodeSettings,
         view: FleetView,
         channels: ChannelPool,
-        quickest_part_s: Callable[[], float] = lambda: 0.0,
+        min_part_s: Callable[[], float] = lambda: 0.0,
         guarded_goals: Callable[[], list[fleet_pb2.WeightGoal]] = list,
     ):
-        """See the class."""
+        """Starts with a state that has not been announced."""
         self._guarded_goals = guarded_goals
-        self._told_at = -math.inf
-        # Words that are on their way to control nodes.
-        self._telling: set[asyncio.Task] = set()
-        self._quickest_part_s = quickest_part_s
+        self._announced_at = -math.inf
+        # Announcements in flight to control nodes.
+        self._announcing: set[asyncio.Task] = set()
+        self._min_part_s = min_part_s
         self._view = view
         self._channels = channels
-        self._told_addresses: set[str] = set()
+        self._announced_addresses: set[str] = set()
         self.state = fleet_pb2.AgentState(
             address=settings.rpc_address,
             target_address=settings.target_address,
@@ -61,25 +63,26 @@
         )
 
     def known_state(self) -> fleet_pb2.AgentState | None:
-        """The state once the target has been heard; None before.
+        """Returns the state; None before the target's first report.
 
-        An agent that has just started must not tell that its target holds
-        nothing: entries would leave it.
+        An agent that has just started must not announce that its target holds
+        nothing, because entries would stop sending to it.
         """
         return self.state if self.state.sequence else None
 
-    async def tell(
+    async def announce(
         self,
         phase: fleet_pb2.AgentPhase,
         held: Iterable[fleet_pb2.HeldLayers],
         staged: fleet_pb2.HeldLayers | None,
         target_born_ms: int = 0,
     ) -> None:
-        """Tells what has changed; returns when control nodes have it.
+        """Announces a changed state; returns when a control node has it.
 
-        Where the fleet takes a word of an earlier incarnation for newer, since
-        the time of day has gone back between the starts, this one goes above
-        it (as incarnation numbers do in SWIM: Das, Gupta and Motivala, 2002).
+        If the time of day was set back between two starts of the agent, the
+        fleet takes the announcement of the earlier incarnation for the newer
+        one. The start time of this incarnation is then raised above it, as
+        incarnation numbers are in SWIM (Das, Gupta and Motivala, 2002).
         """
         state = fleet_pb2.AgentState()
         state.CopyFrom(self.state)
@@ -88,7 +91,7 @@
             state.started = max(state.started, known.started + 1)
         state.phase = phase
         state.target_born_ms = target_born_ms
-        state.link_delay_ms = _step_ms(self._quickest_part_s())
+        state.link_delay_ms = _rounded_delay_ms(self._min_part_s())
         del state.guarded[:]
         state.guarded.extend(self._guarded_goals())
         del state.held[:]
@@ -96,22 +99,22 @@
         state.ClearField("staged")
         if staged is not None:
             state.staged.CopyFrom(staged)
-        is_news = state != self.state or not self.state.sequence
-        if not is_news and not self._must_renew():
-            await self._tell_all()
+        is_changed = state != self.state or not self.state.sequence
+        if not is_changed and not self._must_renew():
+            await self._announce_to_control()
             return
         state.sequence += 1
-        self._told_addresses = set()
-        self._told_at = now_s()
+        self._announced_addresses = set()
+        self._announced_at = now_s()
         self.state = state
-        if is_news:
+        if is_changed:
             self._log_state()
         self._view.take([], [state])
-        await self._tell_all()
+        await self._announce_to_control()
 
     def _must_renew(self) -> bool:
-        """Whether a guard is to be told again, as others hold it for short."""
-        if now_s() - self._told_at < GUARD_RENEWED_S:
+        """Returns whether a guard must be renewed before it expires."""
+        if now_s() - self._announced_at < GUARD_RENEWED_S:
             return False
         return any(
             part.model == goal.model and part.version < goal.version
@@ -132,19 +135,22 @@
             sequence=state.sequence,
         )
 
-    async def _tell_all(self) -> None:
-        """Tells control nodes of which this agent heard after the last word.
+    async def _announce_to_control(self) -> None:
+        """Sends the state to the control nodes that have not received it.
 
-        Their streams may have been opened before there was a word to give.
-        Returns when the first one has it, since each tells everybody: one that
-        is away would hold up orders for as long as a call to it takes to fail.
+        Their update streams may have been opened before there was a state to
+        announce. Returns when the first node has the state, because each node
+        relays it to all: an unreachable one would delay orders until the call
+        to it times out.
         """
-        addresses = set(self._view.control_addresses) - self._told_addresses
-        self._told_addresses |= addresses
-        tasks = {asyncio.create_task(self._tell(a)) for a in addresses}
-        self._telling |= tasks
+        addresses = (
+            set(self._view.control_addresses) - self._announced_addresses
+        )
+        self._announced_addresses |= addresses
+        tasks = {asyncio.create_task(self._announce_to(a)) for a in addresses}
+        self._announcing |= tasks
         for task in tasks:
-            task.add_done_callback(self._telling.discard)
+            task.add_done_callback(self._announcing.discard)
         waiting = set(tasks)
         while waiting:
             done, waiting = await asyncio.wait(
@@ -153,18 +159,18 @@
             if any(task.result() for task in done):
                 return
 
-    async def _tell(self, address: str) -> bool:
-        """Tells one control node; whether it has the word."""
+    async def _announce_to(self, address: str) -> bool:
+        """Sends the state to one control node; returns whether it has it."""
         stub = fleet_grpc.FleetStub(self._channels.channel(address))
         request = fleet_pb2.RelayRequest(agents=[self.state])
-        # Its stream of updates notices that a control node is away.
+        # The update stream detects an unreachable control node.
         with contextlib.suppress(*CALL_ERRORS):
-            await stub.Relay(request, timeout=_TELL_TIMEOUT_S)
+            await stub.Relay(request, timeout=_ANNOUNCE_TIMEOUT_S)
             return True
         return False
 
     def peers(self) -> list[fleet_pb2.AgentState]:
-        """Agents beside targets of the same service, this one left out."""
+        """Returns the other agents whose targets belong to the same service."""
         return [
             agent
             for agent in self._view.agents_by_address.values()
@@ -179,5 +185,5 @@
     )
 
 
-def _step_ms(delay_s: float) -> int:
+def _rounded_delay_ms(delay_s: float) -> int:
     return max(step for step in _DELAY_STEPS_MS if step <= delay_s * 1000)
--- a/damaskcroft/agent/_fleet_stager.py
+++ b/damaskcroft/agent/_fleet_stager.py
@@ -1,4 +1,8 @@
-"""Gets the wanted version's chunks and stages them beside the target."""
+"""Staging of the desired version beside a target of a fleet.
+
+Chunks come from the target itself, from other agents and from the origin, and
+are put at the target as pieces as soon as they are received.
+"""
 
 import asyncio
 import dataclasses
@@ -11,8 +15,8 @@
 from damaskcroft.agent._fleet_agent import FleetAgent
 from damaskcroft.agent._manifest_reader import ManifestReader
 from damaskcroft.agent._version_choice import (
+    ModelVersion,
     VersionChoice,
-    Wanted,
     origin_bytes_s,
     origin_of,
 )
@@ -37,32 +41,34 @@
 
 __all__ = ["FleetStager"]
 
-_LOOK_EVERY_S = 0.05
-# The order of versions depends on what has come meanwhile, too.
-_LOOK_AGAIN_S = 0.5
+_POLL_S = 0.05
+# Interval at which the choice of the version is repeated, because it depends on
+# the chunks received meanwhile, too.
+_RECONSIDER_S = 0.5
 _RETRY_S = 0.2
 _PLANNER = "latin"
-# Chunks that could not be put are tried again after this time, or with the next
-# that comes.
-_PUT_AGAIN_S = 0.5
-# What was right at the target so long ago may be ordered without another look.
-_CHECKED_FOR_S = 1.0
+# Chunks that could not be put are retried after this time, or when the next one
+# is received.
+_PUT_RETRY_S = 0.5
+# Pieces verified at the target within this time need no second check before an
+# order.
+_CHECK_VALID_S = 1.0
 
 
 class FleetStager:
-    """Follows the goals and keeps the wanted version whole beside the target.
+    """Keeps the desired version staged in full beside the target.
 
     Args:
         own: this agent.
-        view: goals, and what other targets hold.
+        view: desired versions, and the versions that other targets hold.
         engine: the target.
-        store: where this agent keeps chunks.
-        source: makes the outside source at an address.
-        peers: how other agents are asked.
-        pacer: paces what comes in.
+        store: chunk store of this agent.
+        source: makes the outside source for an address.
+        peers: client for requests to other agents.
+        pacer: paces downloads.
         options: bounds of a burst.
-        weights_s: from a named version until no request may begin on an older
-            one; 0 for no bound.
+        weights_s: time from the announcement of a version until no request
+            may begin on an older one; 0 for no bound.
     """
 
     def __init__(
@@ -77,7 +83,7 @@
         options: BurstOptions,
         weights_s: float = 0.0,
     ):
-        """See the class."""
+        """Starts with nothing staged."""
         self._choice = VersionChoice(
             own, view, store, pacer.bytes_in(1.0), weights_s
         )
@@ -90,104 +96,110 @@
         self._pacer = pacer
         self._options = options
         self._rng = random.Random(own.state.address)
-        self._put: set[int] = set()
-        # The start of the target at which that was put; None before it spoke.
+        self._put_indexes: set[int] = set()
+        # Start of the target at which these were put; None before its first
+        # report.
         self._target_born_ms: int | None = None
-        # Whether all was put at an earlier start than that.
-        self._must_put_again = False
+        # Whether the staged pieces were put at an earlier start.
+        self._must_restage = False
         self._has_recovered = False
         self.counts = BurstCounts()
-        # Held while a piece is put, and by whoever orders that all be loaded:
-        # the target loads what lies there at the moment of the order.
+        # Held while a piece is put and while a load is ordered, because the
+        # target loads the pieces it has at the moment of the order.
         self.pieces_lock = asyncio.Lock()
-        # What is whole and checked in the store and put at the target.
-        self.staged: Wanted | None = None
+        # Version that is complete and verified in the store and put at the
+        # target.
+        self.staged: ModelVersion | None = None
         self._checked_at = float("-inf")
         self.staged_version: StagedVersion | None = None
 
-    def wanted(self) -> Wanted | None:
-        """The version to hold; see `VersionChoice`."""
-        return self._choice.wanted()
+    def version_to_stage(self) -> ModelVersion | None:
+        """Returns the version to stage; see `VersionChoice`."""
+        return self._choice.version_to_stage()
 
     async def run(self) -> None:
-        """Stages whatever is wanted, until cancelled."""
+        """Stages the desired version, until cancelled."""
         work: asyncio.Task | None = None
-        ahead: asyncio.Task | None = None
-        wanted: Wanted | None = None
-        self._tell_wanted(wanted)
+        prefetching: asyncio.Task | None = None
+        chosen: ModelVersion | None = None
+        self._report_chosen(chosen)
         try:
             while True:
                 seen = self._view.wishes.count
-                found = self.wanted()
-                if found != wanted or self._must_put_again:
-                    wanted = found
-                    self._must_put_again = False
-                    self._tell_wanted(wanted)
-                    # A version no longer wanted stops its traffic at once.
+                found = self.version_to_stage()
+                if found != chosen or self._must_restage:
+                    chosen = found
+                    self._must_restage = False
+                    self._report_chosen(chosen)
+                    # Traffic of a version no longer desired stops at once.
                     await cancelled(work)
-                    await cancelled(ahead)
-                    work = ahead = None
-                    if wanted is not None:
-                        work = asyncio.create_task(self._stage(wanted))
-                ahead = await self._look_ahead(wanted, ahead)
-                # What others hold counts only until a wish is known.
-                look_s = _LOOK_AGAIN_S if wanted else _LOOK_EVERY_S
-                await self._view.wishes.wait(seen, look_s)
+                    await cancelled(prefetching)
+                    work = prefetching = None
+                    if chosen is not None:
+                        work = asyncio.create_task(self._stage(chosen))
+                prefetching = await self._update_prefetch(chosen, prefetching)
+                # Without a version to stage, those of other targets are polled
+                # at short intervals; they count only until a desired version
+                # is known.
+                poll_s = _RECONSIDER_S if chosen else _POLL_S
+                await self._view.wishes.wait(seen, poll_s)
         finally:
             await cancelled(work)
-            await cancelled(ahead)
+            await cancelled(prefetching)
 
-    async def _look_ahead(
-        self, wanted: Wanted | None, ahead: asyncio.Task | None
+    async def _update_prefetch(
+        self, chosen: ModelVersion | None, prefetching: asyncio.Task | None
     ) -> asyncio.Task | None:
-        """Fetches the newest version while an older one waits to be loaded.
+        """Prefetches the newest version while an older one is to be loaded.
 
-        Nothing of it is put at the target, which holds one version's pieces.
+        None of its chunks is put at the target, which holds the pieces of one
+        version.
         """
-        newer = self._choice.newer_than(wanted)
-        if newer is None or self.staged != wanted:
-            await cancelled(ahead)
+        newer = self._choice.newer_than(chosen)
+        if newer is None or self.staged != chosen:
+            await cancelled(prefetching)
             return None
-        if ahead is not None:
-            return ahead
+        if prefetching is not None:
+            return prefetching
         return asyncio.create_task(self._fetch_ahead(newer))
 
-    async def _fetch_ahead(self, wanted: Wanted) -> None:
+    async def _fetch_ahead(self, chosen: ModelVersion) -> None:
         try:
             source = self._source()
-            content, _ = await self._manifest(wanted, source)
+            content, _ = await self._manifest(chosen, source)
             version = self._store.open_version(content, set())
-            log_event("fetching_ahead", path=wanted.path)
-            await self._fetch_whole(self._burst(wanted, source), version)
+            log_event("fetching_ahead", path=chosen.path)
+            await self._fetch_whole(self._burst(chosen, source), version)
         except (ManifestError, OSError) as error:
-            # It is tried again when the version is wanted.
-            log_event("staging_failed", path=wanted.path, reason=error)
+            # The fetch is retried when the version is to be staged.
+            log_event("staging_failed", path=chosen.path, reason=error)
 
     async def _manifest(
-        self, wanted: Wanted, source: OutsideSource
+        self, chosen: ModelVersion, source: OutsideSource
     ) -> tuple[bytes, ManifestReader]:
-        """The wanted version's manifest, and who tells whether it is right."""
+        """Returns the version's manifest, and the reader to confirm it with."""
         reader = ManifestReader(
-            wanted.path, source, self._peers, self._own.peers, self._rng
+            chosen.path, source, self._peers, self._own.peers, self._rng
         )
-        begun = self._store.version_at(wanted.path)
-        if begun is not None:
-            return begun.content, reader
-        return await reader.first(), reader
+        partial = self._store.version_at(chosen.path)
+        if partial is not None:
+            return partial.content, reader
+        return await reader.read_first(), reader
 
     async def restage(self) -> bool:
-        """Reads all staged pieces back and puts spoilt ones again.
+        """Reads all staged pieces back and puts corrupt ones again.
 
-        Not again right after it was done: an agent checks while it waits for
-        its turn, so that its target is out for the load alone.
+        The check is skipped if it was made just before. An agent checks while
+        it waits for its place in the rolling update, so that its target is out
+        of service only while loading.
 
         Returns:
-            Whether every piece is right at the target now.
+            Whether every piece at the target is correct now.
         """
         version = self.staged_version
         if version is None or self.staged is None:
             return False
-        if now_s() - self._checked_at < _CHECKED_FOR_S:
+        if now_s() - self._checked_at < _CHECK_VALID_S:
             return True
         for index in range(len(version.held)):
             digest = version.manifest.chunks[index].digest
@@ -200,77 +212,82 @@
         self._checked_at = now_s()
         return True
 
-    def note_start(self, born_ms: int) -> None:
-        """Takes note of which start of the target speaks.
+    def record_start(self, born_ms: int) -> None:
+        """Records the start of the target that sent a report.
 
-        What was put at an earlier one may be lost, so it is put again.
+        Pieces put at an earlier start may be lost, so they are put again.
         """
         before, self._target_born_ms = self._target_born_ms, born_ms
         if before in (None, born_ms):
             return
-        log_event("target_restarted", born_ms=born_ms, put=len(self._put))
-        # Whoever is putting a piece right now adds it to the set of before.
-        self._put = set()
-        self._must_put_again = self.staged is not None
+        log_event(
+            "target_restarted", born_ms=born_ms, put=len(self._put_indexes)
+        )
+        # A put in progress adds its index to the previous set.
+        self._put_indexes = set()
+        self._must_restage = self.staged is not None
         self.staged = None
-        # Wakes `run`.
+        # This wakes `run`.
         self._view.wishes.give()
 
-    def _tell_wanted(self, wanted: Wanted | None) -> None:
-        """A line and a gauge whenever that changes, also to nothing."""
-        metrics.WEIGHTS_WANTED.set(wanted.version if wanted else 0)
-        goal = wanted and self._view.goal_by_model.get(wanted.model)
+    def _report_chosen(self, chosen: ModelVersion | None) -> None:
+        """Logs and exports a changed version to stage, including none."""
+        metrics.WEIGHTS_WANTED.set(chosen.version if chosen else 0)
+        desired = chosen and self._view.goal_by_model.get(chosen.model)
         log_event(
             "weights_wanted",
             service=self._own.state.service,
-            path=wanted.path if wanted else "",
-            named=goal.version if goal else None,
-            recorded=wanted and self._view.served_by_model.get(wanted.model),
+            path=chosen.path if chosen else "",
+            named=desired.version if desired else None,
+            recorded=chosen and self._view.served_by_model.get(chosen.model),
             configuration=self._view.version,
         )
 
     # --- Staging -------------------------------------------------------------
 
-    async def _stage(self, wanted: Wanted) -> None:
+    async def _stage(self, chosen: ModelVersion) -> None:
         while True:
             try:
-                await self._stage_once(wanted)
+                await self._stage_once(chosen)
                 return
             except (ManifestError, OSError) as error:
-                log_event("staging_failed", path=wanted.path, reason=error)
+                log_event("staging_failed", path=chosen.path, reason=error)
                 await asyncio.sleep(_RETRY_S)
 
-    async def _stage_once(self, wanted: Wanted) -> None:
-        whole = self._whole(wanted)
-        if whole is not None:
-            await self._finish(wanted, whole)
+    async def _stage_once(self, chosen: ModelVersion) -> None:
+        completed = self._completed_version(chosen)
+        if completed is not None:
+            await self._finish(chosen, completed)
             return
         source = self._source()
-        content, manifests = await self._manifest(wanted, source)
+        content, manifests = await self._manifest(chosen, source)
         version = self._store.open_version(content, set())
-        # From here on the target's pieces may be of two versions.
+        # From here on, the target may have pieces of two versions.
         self.staged = None
         self.staged_version = None
-        self._put = set()
+        self._put_indexes = set()
         await self._wait_for_known_target()
         if await self._is_target_up():
-            await self._take_from_target(version)
+            await self._recover_pieces(version)
         log_event(
             "staging",
-            path=wanted.path,
+            path=chosen.path,
             chunks=len(version.held),
             held=version.held_count,
             digest=version.digest[:12],
         )
-        burst = self._burst(wanted, source)
-        await self._bring(burst, version, manifests.is_confirmed(content))
-        await self._finish(wanted, version)
+        burst = self._burst(chosen, source)
+        await self._fetch_and_put(
+            burst, version, manifests.is_confirmed(content)
+        )
+        await self._finish(chosen, version)
 
     async def _wait_for_known_target(self) -> None:
-        """Waits for a target that may have pieces: they cost no traffic.
+        """Waits for a target that may have pieces, because they save traffic.
 
-        At a target that nobody has heard of nothing lies: a new machine's
-        takes a second to start, a sixth of what bringing a version takes.
+        A target that is not known to the fleet has none and is not waited for:
+        on a new machine it takes a second to start, a sixth of the time to
+        fetch a version.
         """
         address = self._own.state.target_address
         while any(s.address == address for s in self._view.book.words()):
@@ -282,33 +299,35 @@
         report = await self._engine.report()
         return not isinstance(report, EngineUnreachable)
 
-    def _whole(self, wanted: Wanted) -> StagedVersion | None:
-        """The wanted version, if this process has had it whole and checked."""
+    def _completed_version(self, chosen: ModelVersion) -> StagedVersion | None:
+        """Returns the version if this process has completed and verified it."""
         version = self.staged_version
         if version is None or version is not self._store.version_at(
-            wanted.path
+            chosen.path
         ):
             return None
         return version
 
-    async def _finish(self, wanted: Wanted, version: StagedVersion) -> None:
-        # Nothing is left to be put, unless the target has started again.
-        await self._put_as_they_come(version)
+    async def _finish(
+        self, chosen: ModelVersion, version: StagedVersion
+    ) -> None:
+        # Nothing is left to be put, unless the target has restarted.
+        await self._put_as_received(version)
         self._checked_at = float("-inf")
-        self.staged = wanted
+        self.staged = chosen
         self.staged_version = version
         log_event(
             "staged",
-            path=wanted.path,
+            path=chosen.path,
             origin_bytes=self.counts.origin_bytes,
             peer_bytes=self.counts.peer_bytes,
             corrupt=self.counts.corrupt_chunks,
         )
 
-    def _burst(self, wanted: Wanted, source: OutsideSource) -> Burst:
+    def _burst(self, chosen: ModelVersion, source: OutsideSource) -> Burst:
         burst = Burst(
             self._own.state.address,
-            wanted.path,
+            chosen.path,
             self._store,
             [source],
             self._peers,
@@ -322,29 +341,29 @@
         self._plan(burst)
         return burst
 
-    async def _bring(
+    async def _fetch_and_put(
         self,
         burst: Burst,
         version: StagedVersion,
         confirmation: Coroutine[Any, Any, bool],
     ) -> None:
-        """Fetches what is missing and puts it at the target, until all is.
+        """Fetches missing chunks and puts them until the version is complete.
 
         Args:
-            burst: fetches.
-            version: what is to be whole.
-            confirmation: tells whether its manifest is borne out.
+            burst: fetches the chunks.
+            version: the version to complete.
+            confirmation: returns whether its manifest is confirmed.
 
         Raises:
-            ManifestError: it is not.
+            ManifestError: the manifest is not confirmed.
         """
         confirming = asyncio.create_task(confirmation)
         putting = asyncio.create_task(self._put_when_up(version))
         planning = asyncio.create_task(self._plan_when_known(burst))
         fetching = asyncio.create_task(self._fetch_whole(burst, version))
         try:
-            # A spoilt manifest's chunks never come right, so don't wait for
-            # them before its readings are compared.
+            # Chunks of a corrupt manifest never match their digests, so the
+            # comparison of its readings must not wait for them.
             await asyncio.wait(
                 {fetching, confirming}, return_when=asyncio.FIRST_COMPLETED
             )
@@ -361,7 +380,7 @@
             await burst.run(version)
 
     def _source(self) -> OutsideSource:
-        """The outside source that the configuration names.
+        """Returns the outside source that the configuration names.
 
         Raises:
             OSError: it names none.
@@ -371,12 +390,12 @@
             raise OSError("the configuration names no origin of weights")
         return self._make_source(origin.origin)
 
-    async def _take_from_target(self, version: StagedVersion) -> None:
-        """Takes what a former process of this agent put at the target.
+    async def _recover_pieces(self, version: StagedVersion) -> None:
+        """Recovers the pieces that an earlier process of this agent put.
 
-        Checked by digest, since pieces of another version, or spoilt ones,
-        may lie among them. Once this process has staged anything, it knows
-        what lies there.
+        They are verified by digest, because some may belong to another version
+        or be corrupt. It is done once: afterwards this process knows which
+        pieces the target has.
         """
         if self._has_recovered:
             return
@@ -385,34 +404,34 @@
                 continue
             data = await self._engine.get_piece(version.manifest.model, index)
             if data is not None and version.write_chunk(index, data):
-                self._put.add(index)
+                self._put_indexes.add(index)
                 self.counts.local_bytes += len(data)
         self._has_recovered = True
 
     async def _put_when_up(self, version: StagedVersion) -> None:
         while not await self._is_target_up():
             await asyncio.sleep(_RETRY_S)
-        await self._take_from_target(version)
-        await self._put_as_they_come(version)
+        await self._recover_pieces(version)
+        await self._put_as_received(version)
 
-    async def _put_as_they_come(self, version: StagedVersion) -> None:
+    async def _put_as_received(self, version: StagedVersion) -> None:
         """Puts chunks in any order, so that a restart loses few of them."""
         while True:
             seen = version.arrived.count
             arrived = [
                 index
                 for index, held in enumerate(version.held)
-                if held and index not in self._put
+                if held and index not in self._put_indexes
             ]
-            put = self._put
+            put = self._put_indexes
             for index in arrived:
                 if await self._put_piece(version, index):
                     put.add(index)
                 else:
                     await asyncio.sleep(_RETRY_S)
-            if len(self._put) >= len(version.held):
+            if len(self._put_indexes) >= len(version.held):
                 return
-            await version.arrived.wait(seen, _PUT_AGAIN_S)
+            await version.arrived.wait(seen, _PUT_RETRY_S)
 
     async def _put_piece(self, version: StagedVersion, index: int) -> bool:
         data = version.read_chunk(index)
@@ -422,20 +441,22 @@
             )
 
     async def _plan_when_known(self, burst: Burst) -> None:
-        """Plans once others are known; agents that come later join alone.
+        """Makes the plan once other agents are known, and keeps it.
 
-        Planned anew, chunks would wait for newcomers that hold nothing yet.
-        These plan with everyone, so that nobody waits for them.
+        With a new plan for each agent that joins, chunks would wait for
+        newcomers that hold nothing yet. Newcomers include all agents in their
+        own plan, so that no agent has to wait for them.
         """
         while not self._own.peers():
-            await asyncio.sleep(_LOOK_EVERY_S)
+            await asyncio.sleep(_POLL_S)
         self._plan(burst)
 
-    def _living_peers(self) -> list[fleet_pb2.AgentState]:
-        """Other agents whose targets are there, or all if none is known.
+    def _live_peers(self) -> list[fleet_pb2.AgentState]:
+        """Returns the other agents with live targets, or all if none is known.
 
-        An agent that ends says nothing. What it was to read would be with
-        nobody until others took it over, or longer if the origin is lost.
+        An agent that stops announces nothing. The chunks assigned to it would
+        be missing until other agents took them over, or for longer if the
+        origin is lost.
         """
         peers = self._own.peers()
         addresses = {state.address for state in self._view.book.believed()}
@@ -445,6 +466,6 @@
         own = self._own.state
         participants = [
             Participant(agent.address, agent.address, agent.region)
-            for agent in [*self._living_peers(), own]
+            for agent in [*self._live_peers(), own]
         ]
         burst.plan_with(make_planner(_PLANNER, own.address, participants))
--- a/damaskcroft/agent/_fleet_switcher.py
+++ b/damaskcroft/agent/_fleet_switcher.py
@@ -1,4 +1,8 @@
-"""Brings the target to the staged version, in turn with the others."""
+"""Orders to one target during rolling updates of a fleet.
+
+Each agent decides by itself when its target switches, from the announced states
+of the other agents, so that enough targets keep serving.
+"""
 
 import asyncio
 import math
@@ -7,7 +11,7 @@
 from damaskcroft._generated import fleet_pb2
 from damaskcroft.agent._fleet_agent import FleetAgent
 from damaskcroft.agent._fleet_stager import FleetStager
-from damaskcroft.agent._version_choice import Wanted
+from damaskcroft.agent._version_choice import ModelVersion
 from damaskcroft.agent._weights_guard import WeightsGuard
 from damaskcroft.clock import now_s
 from damaskcroft.engines import (
@@ -24,39 +28,42 @@
 
 _POLL_S = 0.04
 _IDLE_POLL_S = 0.2
-# A target that serves what is wanted tells control when it starts again.
+# Longer than the idle interval, because a target that serves the desired
+# version reports to control when it restarts.
 _SETTLED_POLL_S = 0.6
-# How often old weights are looked at that may have to be given up; a third of
-# the shortest time that is kept for that (see WeightsGuard).
+# Interval of checks while old weights may have to be dropped: a third of the
+# shortest time reserved for that (see WeightsGuard).
 _GUARD_POLL_S = 0.1
-# How often it is looked whether the target holds older weights than before: a
-# version's time is longer than that.
-_GUARD_LOOK_S = 0.5
-# Share of a service's targets that may be out at once while versions change.
-# Where running requests are waited for, a target is out for as long as the
-# longest of them, some seconds, and only two waves fit between the last
-# chunk's arrival and the time by which all must serve the new version. Where
-# they are cut and go on elsewhere, it is out for the load alone.
-_MAX_OUT_WAITING = 0.5
-_MAX_OUT_CUTTING = 0.34
-# Entries hear of a change within some milliseconds; requests already on their
-# way to the target arrive within a few more.
-_NOTICE_S = 0.03
-# Kept before the deadline, for running requests to end and the load.
-_LAST_CALL_S = 0.7
-# An order that shows no effect for this long is given again.
-_ORDER_PATIENCE_S = 10.0
+# Maximum interval of checks whether the target holds older weights than before.
+# It is shorter than the time in which an old version expires.
+_GUARD_IDLE_POLL_S = 0.5
+# Share of a service's targets that may be out of service at once during a
+# rolling update. If running requests are waited for, a target is out for as
+# long as the longest of them, some seconds, and only two waves fit between the
+# last chunk's arrival and the time by which all must serve the new version. If
+# they are interrupted and resumed elsewhere, it is out only while loading.
+_MAX_OUT_SHARE_WAITING = 0.5
+_MAX_OUT_SHARE_INTERRUPTING = 0.34
+# Entries learn of a change within some milliseconds; requests already in
+# flight to the target arrive within a few more.
+_PROPAGATION_S = 0.03
+# Time reserved before the deadline for running requests to end and for the
+# load.
+_SWITCH_RESERVE_S = 0.7
+# An order without an effect for this long is sent again.
+_ORDER_TIMEOUT_S = 10.0
 
 
 class FleetSwitcher:
-    """The only giver of orders to its target.
+    """Sends all orders to one target: loads, and drops of old weights.
 
     Args:
-        own: this agent, which tells the others.
-        view: goals, and the other agents.
+        own: announces the state of this agent.
+        view: desired versions, and the states of the other agents.
         engine: the target.
-        stager: what is staged.
-        weights_s: from a named version until all must serve it.
+        stager: provides the staged version.
+        weights_s: time from the announcement of a version until all must
+            serve it.
         link_is_quick: see `WeightsGuard`.
     """
 
@@ -69,120 +76,123 @@
         weights_s: float,
         link_is_quick: Callable[[], bool] = lambda: False,
     ):
-        """See the class."""
+        """Subscribes to the updates of the view."""
         self._guard = WeightsGuard(view, engine, weights_s, link_is_quick)
         self._own = own
         self._view = view
         self._engine = engine
         self._stager = stager
         self._weights_s = weights_s
-        # Given when the target has told control something.
-        self._heard = Signal()
-        view.listen(self._hear)
+        # Given when the view has received an update of the target.
+        self._target_updated = Signal()
+        view.listen(self._on_update)
 
     async def run(self) -> None:
-        """Guards, and switches to what is newer and staged, until cancelled."""
+        """Drops expired weights and loads staged ones, until cancelled."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._guard_always())
-            group.create_task(self._switch_always())
+            group.create_task(self._run_guard())
+            group.create_task(self._run_switching())
 
-    async def _guard_always(self) -> None:
-        """Gives up old weights in time, whatever else is under way.
+    async def _run_guard(self) -> None:
+        """Drops old weights in time, concurrently with the switching.
 
-        A word to control nodes of which one is away takes half a second, and
-        so may reading the staged pieces back; the time doesn't wait for them.
+        An announcement to control nodes takes half a second if one is
+        unreachable, and so may reading the staged pieces back; neither may
+        delay the drop.
         """
         while True:
             seen = self._view.wishes.count
-            near_in_s = self._guard.near_in_s()
-            if near_in_s <= 0:
+            due_in_s = self._guard.due_in_s()
+            if due_in_s <= 0:
                 report = await self._engine.report()
                 if isinstance(report, EngineReport):
                     staged = self._stager.staged
-                    await self._guard.act(
+                    await self._guard.drop_if_due(
                         report, staged.version if staged else 0
                     )
-            wait_s = min(max(near_in_s, _GUARD_POLL_S), _GUARD_LOOK_S)
+            wait_s = min(max(due_in_s, _GUARD_POLL_S), _GUARD_IDLE_POLL_S)
             await self._view.wishes.wait(seen, wait_s)
 
-    async def _switch_always(self) -> None:
+    async def _run_switching(self) -> None:
         while True:
             report = await self._engine.report()
             if isinstance(report, EngineUnreachable):
                 await asyncio.sleep(_IDLE_POLL_S)
                 continue
-            self._guard.note(report)
-            self._stager.note_start(report.born_ms)
+            self._guard.record_report(report)
+            self._stager.record_start(report.born_ms)
             staged = self._stager.staged
-            await self._tell(fleet_pb2.AGENT_SERVING, report)
+            await self._announce(fleet_pb2.AGENT_SERVING, report)
             if staged is None or report.busy or self._serves(report, staged):
-                await self._heard.next(self._pause_s(report))
+                await self._target_updated.next(self._poll_interval_s(report))
                 continue
             if not await self._stager.restage():
                 await asyncio.sleep(_POLL_S)
                 continue
-            if not self._is_our_turn(report):
+            if not self._may_switch(report):
                 await asyncio.sleep(_POLL_S)
                 continue
             await self._switch(report, staged)
 
-    def _pause_s(self, report: EngineReport) -> float:
-        """Until the next look at a target that needs no order now."""
-        wanted = self._stager.wanted()
-        is_settled = wanted is not None and self._serves(report, wanted)
+    def _poll_interval_s(self, report: EngineReport) -> float:
+        """Returns the time until the next poll of a target without an order."""
+        chosen = self._stager.version_to_stage()
+        is_settled = chosen is not None and self._serves(report, chosen)
         if is_settled and not report.busy:
             return _SETTLED_POLL_S
         return _IDLE_POLL_S
 
-    def _hear(self, update: fleet_pb2.FleetUpdate) -> None:
-        """Looks at the target at once if it has told something."""
+    def _on_update(self, update: fleet_pb2.FleetUpdate) -> None:
+        """Triggers a poll of the target if the update concerns it."""
         address = self._own.state.target_address
         if any(state.address == address for state in update.targets):
-            self._heard.give()
+            self._target_updated.give()
 
     async def leave(self) -> None:
-        """Does before this agent ends what would come due while it is away."""
+        """Does in advance what would be due while this agent is restarted."""
         report = await self._engine.report()
         if isinstance(report, EngineUnreachable) or report.busy:
             return
-        if not self._guard.is_due_while_away(report):
+        if not self._guard.is_due_during_restart(report):
             return
         staged = self._stager.staged
         if staged is not None and await self._stager.restage():
-            # Takes the old weights away as well.
-            await self._tell(fleet_pb2.AGENT_SWITCHING, report)
+            # The order to load removes the old weights as well.
+            await self._announce(fleet_pb2.AGENT_SWITCHING, report)
             await self._order(report, staged)
         else:
-            await self._guard.give_up(report)
+            await self._guard.drop_old_weights(report)
         report = await self._engine.report()
         if isinstance(report, EngineReport):
-            # Nobody else tells it before the next process has been heard.
-            await self._tell(fleet_pb2.AGENT_SERVING, report)
+            # No other process announces this state until the next process of
+            # the agent does.
+            await self._announce(fleet_pb2.AGENT_SERVING, report)
 
-    async def _switch(self, report: EngineReport, staged: Wanted) -> None:
+    async def _switch(self, report: EngineReport, staged: ModelVersion) -> None:
         log_event(
             "switching",
             path=staged.path,
             running=report.running,
-            out=len(self._others_out()),
-            left_s=self._left_s(staged),
+            out=len(self._switching_peers()),
+            left_s=self._time_left_s(staged),
         )
-        await self._tell(fleet_pb2.AGENT_SWITCHING, report)
-        await asyncio.sleep(_NOTICE_S)
+        await self._announce(fleet_pb2.AGENT_SWITCHING, report)
+        await asyncio.sleep(_PROPAGATION_S)
         if await self._order(report, staged):
             await self._wait_until_loaded(staged)
 
-    async def _order(self, report: EngineReport, staged: Wanted) -> bool:
-        """Orders that what is staged be loaded; whether it is begun.
+    async def _order(self, report: EngineReport, staged: ModelVersion) -> bool:
+        """Orders the load of the staged version; returns whether it begins.
 
-        A target that has started again since its pieces were checked may have
-        lost some, and its count of orders may be the same as before.
+        A target that has restarted since its pieces were verified may have
+        lost some of them, and its order sequence may be the same as before, so
+        its start is checked once more.
         """
         async with self._stager.pieces_lock:
             now = await self._engine.report()
             if not isinstance(now, EngineReport):
                 return False
-            self._stager.note_start(now.born_ms)
+            self._stager.record_start(now.born_ms)
             if self._stager.staged != staged:
                 log_event("switch_overtaken", path=staged.path)
                 return False
@@ -190,15 +200,15 @@
                 staged.model,
                 staged.version,
                 report.sequence,
-                cut_running=self._may_cut(),
+                cut_running=self._may_interrupt(),
             )
         metrics.ORDERS.labels("start", type(order).__name__).inc()
         log_event("ordered", path=staged.path, outcome=order)
         return isinstance(order, OrderAccepted)
 
-    async def _wait_until_loaded(self, staged: Wanted) -> None:
+    async def _wait_until_loaded(self, staged: ModelVersion) -> None:
         ordered_at = now_s()
-        while now_s() - ordered_at < _ORDER_PATIENCE_S:
+        while now_s() - ordered_at < _ORDER_TIMEOUT_S:
             report = await self._engine.report()
             if isinstance(report, EngineReport):
                 if self._serves(report, staged):
@@ -207,48 +217,55 @@
                         path=staged.path,
                         after_s=now_s() - ordered_at,
                     )
-                    await self._tell(fleet_pb2.AGENT_SERVING, report)
+                    await self._announce(fleet_pb2.AGENT_SERVING, report)
                     return
-                self._stager.note_start(report.born_ms)
+                self._stager.record_start(report.born_ms)
                 if not report.busy:
                     log_event("order_had_no_effect", path=staged.path)
                     return
             await asyncio.sleep(_POLL_S)
 
-    # --- Turns -------------------------------------------------------------
+    # --- Rolling update ------------------------------------------------------
 
-    def _is_our_turn(self, report: EngineReport) -> bool:
-        """Whether enough other targets serve while this one is out."""
+    def _may_switch(self, report: EngineReport) -> bool:
+        """Returns whether enough other targets serve while this one is out."""
         if not any(may_serve(part) for part in report.held):
             return True
         staged = self._stager.staged
-        if staged is None or self._guard.left_s(report) < _LAST_CALL_S:
+        if (
+            staged is None
+            or self._guard.time_left_s(report) < _SWITCH_RESERVE_S
+        ):
             return True
         targets = len(self._own.peers()) + 1
-        share = _MAX_OUT_CUTTING if self._may_cut() else _MAX_OUT_WAITING
-        most_out = max(1, math.floor(targets * share))
-        free = most_out - len(self._others_out())
-        return self._place_in_line(staged) < free
+        share = (
+            _MAX_OUT_SHARE_INTERRUPTING
+            if self._may_interrupt()
+            else _MAX_OUT_SHARE_WAITING
+        )
+        max_out = max(1, math.floor(targets * share))
+        free = max_out - len(self._switching_peers())
+        return self._count_ahead(staged) < free
 
-    def _may_cut(self) -> bool:
-        """Whether whatever runs at the target may go on elsewhere."""
+    def _may_interrupt(self) -> bool:
+        """Returns whether running requests may be resumed elsewhere."""
         table = self._view.table
         services = table.services_by_name if table else {}
         service = services.get(self._own.state.service)
         return service is not None and service.interruptible
 
-    def _others_out(self) -> list[fleet_pb2.AgentState]:
+    def _switching_peers(self) -> list[fleet_pb2.AgentState]:
         return [
             agent
             for agent in self._own.peers()
             if agent.phase == fleet_pb2.AGENT_SWITCHING
         ]
 
-    def _place_in_line(self, staged: Wanted) -> int:
-        """How many others have staged the version and wait before us.
+    def _count_ahead(self, staged: ModelVersion) -> int:
+        """Returns how many agents with the version staged switch before us.
 
-        Addresses order them, so that two that are ready at one moment don't
-        both take the last place.
+        They are ordered by address, so that two agents that become ready at
+        the same moment don't both take the last place.
         """
         return sum(
             agent.address < self._own.state.address
@@ -258,30 +275,37 @@
             and not _holds(agent.held, staged)
         )
 
-    def _left_s(self, staged: Wanted) -> float:
-        """Until requests may begin on this version only; none may be due."""
-        named = self._view.goal_since_by_model.get(staged.model, {})
-        since = named.get(staged.version)
-        if since is None:
+    def _time_left_s(self, staged: ModelVersion) -> float:
+        """Returns the time until requests may begin on this version only.
+
+        It is infinite for a version that was not announced.
+        """
+        accepted_at_by_version = self._view.goal_since_by_model.get(
+            staged.model, {}
+        )
+        accepted_at = accepted_at_by_version.get(staged.version)
+        if accepted_at is None:
             return math.inf
-        return since + self._weights_s - now_s()
+        return accepted_at + self._weights_s - now_s()
 
-    def _serves(self, report: EngineReport, staged: Wanted) -> bool:
+    def _serves(self, report: EngineReport, staged: ModelVersion) -> bool:
         return _holds(report.held, staged)
 
-    async def _tell(
+    async def _announce(
         self, phase: fleet_pb2.AgentPhase, report: EngineReport
     ) -> None:
         staged = self._stager.staged
-        told = None
+        staged_part = None
         if staged is not None:
-            told = fleet_pb2.HeldLayers(
+            staged_part = fleet_pb2.HeldLayers(
                 model=staged.model, version=staged.version
             )
-        await self._own.tell(phase, report.held, told, report.born_ms)
+        await self._own.announce(
+            phase, report.held, staged_part, report.born_ms
+        )
 
 
-def _holds(held, staged: Wanted) -> bool:
+def _holds(held, staged: ModelVersion) -> bool:
     return any(
         part.model == staged.model and part.version == staged.version
         for part in held
--- a/damaskcroft/agent/_gate.py
+++ b/damaskcroft/agent/_gate.py
@@ -1,7 +1,7 @@
-"""The gate that every request to a target passes.
+"""Admission of requests to one target.
 
-One version at a time is behind it. What it refuses is certified: the target
-has seen no byte of it and never will.
+One version at a time is served behind the gate. A refusal certifies that the
+target has received no byte of the request and never will.
 """
 
 import asyncio
@@ -19,15 +19,15 @@
 _MS = 1000  # In a second.
 _RETRY_SOON_MS = 50
 _RETRY_LATER_MS = 1000
-_MAX_RUNS_REMEMBERED = 100_000
+_MAX_RECORDED_RUNS = 100_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admitted:
-    """The request may go to the target.
+    """The request may be sent to the target.
 
     Attributes:
-        manifest: the version it is pinned to.
+        manifest: manifest digest of the version the request is pinned to.
         version: that version's name.
         fencing: the assignment's fencing number.
     """
@@ -39,11 +39,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """Certified not run.
+    """The request has certainly not been run.
 
     Attributes:
-        reason: why.
-        retry_after_ms: when trying here again makes sense.
+        reason: reason of the refusal.
+        retry_after_ms: time after which a retry at this target makes sense.
     """
 
     reason: agent_pb2.RefusalReason
@@ -55,10 +55,10 @@
 
     Args:
         lease: the agent's lease.
-        slots: how many requests the target runs at once.
-        incarnation: this agent process.
-        is_service: the target is a plain service, with no version.
-        limit: the rate that the target names; None to keep to none.
+        slots: number of requests that the target runs at once.
+        incarnation: identifies this agent process.
+        is_service: whether the target is a plain service without versions.
+        limit: rate limit that the target announces; None applies none.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         is_service: bool,
         limit: TargetLimit | None = None,
     ):
-        """Creates a gate with nothing behind it yet."""
+        """Starts closed, except for a plain service."""
         self._limit = limit
         self._lease = lease
         self._slots = slots
@@ -90,16 +90,16 @@
         )
 
     def admit(self, request: agent_pb2.RunRequest) -> Admitted | Refused:
-        """Decides on one request at this instant."""
+        """Admits or refuses one request, without waiting."""
         refused = self._refusal(request)
         if refused is not None:
             reason = agent_pb2.RefusalReason.Name(refused.reason)
             metrics.GATE_REFUSALS.labels(reason).inc()
             return refused
         if request.HasField("claim"):
-            self._remember(request.claim.run_number, ran=True)
+            self._record_run(request.claim.run_number, ran=True)
         if self._limit is not None:
-            self._limit.sending()
+            self._limit.consume_token()
         return Admitted(self.manifest, self.version, self.fencing)
 
     @contextlib.contextmanager
@@ -114,25 +114,25 @@
             if not self.outstanding:
                 self._idle.set()
 
-    def forbid(
+    def fence_if_unseen(
         self, inquiry: agent_pb2.InquireRequest
     ) -> agent_pb2.InquireOutcome:
-        """Tells whether a claimed run was seen; if not, it never will run."""
+        """Returns whether a claimed run was seen; fences it off if not."""
         if inquiry.agent_incarnation != self._incarnation:
             return agent_pb2.INQUIRE_OTHER_INCARNATION
         if self._seen_runs.get(inquiry.run_number):
             return agent_pb2.INQUIRE_RUNNING
-        self._remember(inquiry.run_number, ran=False)
+        self._record_run(inquiry.run_number, ran=False)
         return agent_pb2.INQUIRE_NEVER_SEEN
 
     def mark_not_run(self, run_number: int) -> None:
-        """Notes that an admitted run never reached the target."""
-        self._remember(run_number, ran=False)
+        """Records that an admitted run never reached the target."""
+        self._record_run(run_number, ran=False)
 
     def open(
         self, model: str, version: str, manifest: str, fencing: int
     ) -> None:
-        """Puts one version behind the gate."""
+        """Admits requests for one version."""
         self.model = model
         self.version = version
         self.manifest = manifest
@@ -140,7 +140,7 @@
         self.is_open = True
 
     def shut(self) -> None:
-        """Lets nothing in until it is opened again."""
+        """Refuses all requests until the gate is opened again."""
         self.is_open = False
         if not self._is_service:
             self.manifest = ""
@@ -162,10 +162,10 @@
         if not request.deadline_ms:
             return Refused(agent_pb2.REFUSED_DEADLINE, _RETRY_SOON_MS)
         if claimed and not self._lease.is_held:
-            # Cut off: only work that may be repeated goes on.
+            # Without a lease only repeatable requests are admitted.
             return Refused(agent_pb2.REFUSED_LEASE_LAPSED, _RETRY_LATER_MS)
-        # Alerts and pings may go above the slots; the target orders by
-        # priority.
+        # Alerts and pings may exceed the slots, because the target schedules
+        # by priority.
         if request.priority > 1 and self.outstanding >= self._slots:
             return Refused(agent_pb2.REFUSED_BUSY, _RETRY_SOON_MS)
         wait_s = self._limit.wait_s() if self._limit is not None else 0.0
@@ -184,7 +184,7 @@
             return Refused(agent_pb2.REFUSED_DUPLICATE_RUN, _RETRY_SOON_MS)
         return Refused(agent_pb2.REFUSED_FENCED_RUN, _RETRY_SOON_MS)
 
-    def _remember(self, run_number: int, *, ran: bool) -> None:
+    def _record_run(self, run_number: int, *, ran: bool) -> None:
         self._seen_runs[run_number] = ran
-        while len(self._seen_runs) > _MAX_RUNS_REMEMBERED:
+        while len(self._seen_runs) > _MAX_RECORDED_RUNS:
             self._seen_runs.popitem(last=False)
--- a/damaskcroft/agent/_manifest_reader.py
+++ b/damaskcroft/agent/_manifest_reader.py
@@ -1,7 +1,7 @@
-"""Which manifest of a version to believe, where nothing vouches for one.
+"""Selection of a version's manifest where no digest of it is known.
 
-The origin may spoil what it sends, and a peer passes on what it has read. Two
-equal readings bear each other out.
+The origin may corrupt what it sends, and a peer passes on what it has read. A
+manifest counts as confirmed once two readings of it are equal.
 """
 
 import asyncio
@@ -21,21 +21,21 @@
 
 __all__ = ["ManifestReader"]
 
-# The longest pause between two rounds of readings; each takes part of it.
+# Maximum pause between two rounds of readings; each pause is a random part.
 _PAUSE_S = 0.2
-# Other readings of a manifest that outweigh one's own.
-_READINGS_AGAINST = 2
+# Number of differing readings at which a manifest is rejected.
+_MAX_DIFFERING_READINGS = 2
 
 
 class ManifestReader:
-    """Reads the manifest of one version from whoever has it.
+    """Reads the manifest of one version from the origin and from peers.
 
     Args:
-        path: where outside sources keep the version.
+        path: path of the version at outside sources.
         source: the outside source.
-        peers: how other agents are asked.
-        others: agents that may have it.
-        rng: chooses among them.
+        peers: client for requests to other agents.
+        others: returns the agents that may have the manifest.
+        rng: selects among these agents.
     """
 
     __slots__ = ("_others", "_path", "_peers", "_rng", "_source")
@@ -48,15 +48,15 @@
         others: Callable[[], list[fleet_pb2.AgentState]],
         rng: random.Random,
     ):
-        """See the class."""
+        """Stores the arguments; nothing is read yet."""
         self._path = path
         self._source = source
         self._peers = peers
         self._others = others
         self._rng = rng
 
-    async def first(self) -> bytes:
-        """A manifest to begin with, from wherever one is had first.
+    async def read_first(self) -> bytes:
+        """Returns the first manifest that any source provides.
 
         Raises:
             ManifestError: it describes impossible files.
@@ -71,17 +71,17 @@
             await self._pause()
 
     async def is_confirmed(self, content: bytes) -> bool:
-        """Whether an equal reading comes before two that differ.
+        """Returns whether an equal reading comes before two that differ.
 
-        Chunks of a spoilt manifest would come in vain, but never be loaded:
-        this is awaited before.
+        Callers await this before the version is loaded. Until then, chunks of
+        a corrupt manifest may be fetched, but they are never loaded.
         """
-        others = 0
-        while others < _READINGS_AGAINST:
+        differing = 0
+        while differing < _MAX_DIFFERING_READINGS:
             for other in (await self._from_peer(), await self._from_outside()):
                 if other == content:
                     return True
-                others += other is not None
+                differing += other is not None
             await self._pause()
         return False
 
--- a/damaskcroft/agent/_runs.py
+++ b/damaskcroft/agent/_runs.py
@@ -1,4 +1,4 @@
-"""Runs admitted requests at the target and passes the answers on."""
+"""Execution of admitted requests at the target and relay of their answers."""
 
 import asyncio
 from collections.abc import AsyncGenerator, AsyncIterator, Callable
@@ -19,10 +19,10 @@
 from damaskcroft.observe import log_event, log_warning, metrics
 
 _RETRY_UNREACHABLE_MS = 500
-# A claimed run goes on for this long after its caller has left.
+# Maximum duration of a claimed run, which continues after its caller has left.
 _MAX_CLAIMED_RUN_S = 600.0
 _MAX_KEPT_BODY_BYTES = 256 * 1024
-# Answers up to this size go to the entry in one message.
+# Answers up to this size are sent to the entry in one message.
 _MAX_WHOLE_BYTES = 256 * 1024
 _EVENT_STREAM = "text/event-stream"
 
@@ -34,10 +34,10 @@
         gate: admits each request.
         engine: the target.
         settler: records the outcomes of claimed runs.
-        target: tells whether the target has crashed.
-        limit: the rate that it names.
-        first_piece_seen: told each request's time to its first body piece,
-            in seconds.
+        target: detects crashes of the target.
+        limit: rate limit that the target announces.
+        record_first_piece: called with each request's time to its first body
+            piece, in seconds.
     """
 
     def __init__(
@@ -47,28 +47,29 @@
         settler: Settler,
         target: TargetWatch,
         limit: TargetLimit,
-        first_piece_seen: Callable[[float], None],
+        record_first_piece: Callable[[float], None],
     ):
-        """See the class."""
+        """Starts without runs."""
         self._gate = gate
         self._engine = engine
         self._settler = settler
         self._target = target
         self._limit = limit
-        self._first_piece_seen = first_piece_seen
+        self._record_first_piece = record_first_piece
         self._claimed_runs: set[asyncio.Task] = set()
 
     async def run(
         self, request: agent_pb2.RunRequest
     ) -> AsyncGenerator[agent_pb2.RunEvent, None]:
-        """Gives the events of one request.
+        """Yields the events of one request.
 
-        An idempotent run ends with its reader; a claimed one goes on, so that
-        its outcome is kept for the caller's next attempt.
+        A repeatable run is cancelled when its reader disconnects. A claimed
+        run continues, so that its outcome is kept for the caller's next
+        attempt.
         """
         admitted = self._gate.admit(request)
         if isinstance(admitted, Refused):
-            yield self._refused(admitted)
+            yield self._refused_event(admitted)
             return
         if not request.HasField("claim"):
             async for event in self._run_repeatable(request, admitted):
@@ -82,7 +83,7 @@
             yield queued
 
     async def finish(self) -> None:
-        """Waits for claimed runs whose callers have left."""
+        """Waits for claimed runs, including those whose callers have left."""
         while self._claimed_runs:
             await asyncio.wait(self._claimed_runs)
 
@@ -95,7 +96,7 @@
                     async for event in self._call(request, admitted):
                         yield event
             except TimeoutError:
-                yield self._failed(agent_pb2.FAILED_DEADLINE)
+                yield self._failed_event(agent_pb2.FAILED_DEADLINE)
 
     async def _run_claimed(
         self,
@@ -108,22 +109,25 @@
             try:
                 async with asyncio.timeout(_MAX_CLAIMED_RUN_S):
                     async for event in self._call(request, admitted):
-                        outcome.take(event)
+                        outcome.record(event)
                         events.put_nowait(event)
             except TimeoutError:
-                events.put_nowait(self._failed(agent_pb2.FAILED_DEADLINE))
+                events.put_nowait(self._failed_event(agent_pb2.FAILED_DEADLINE))
             except Exception as error:
-                # A fault of ours; the run is settled all the same.
+                # An internal error; the run is settled nevertheless.
                 log_warning(
                     "run_failed",
                     request_id=request.request_id,
                     reason=repr(error),
                 )
-                events.put_nowait(self._failed(agent_pb2.FAILED_TARGET_LOST))
+                events.put_nowait(
+                    self._failed_event(agent_pb2.FAILED_TARGET_LOST)
+                )
             finally:
                 events.put_nowait(None)
             if outcome.refused:
-                # The entry decides whether to move the claim or to end it.
+                # The entry decides whether to move the claim or to end it, so
+                # nothing is settled here.
                 self._gate.mark_not_run(request.claim.run_number)
                 return
             settlement = outcome.settlement(request, admitted)
@@ -153,29 +157,30 @@
         async with self._engine.call(call, fresh_connection=claimed) as begun:
             match begun:
                 case CallNotSent():
-                    yield self._refused(
+                    yield self._refused_event(
                         Refused(
                             agent_pb2.REFUSED_TARGET_UNREACHABLE,
                             _RETRY_UNREACHABLE_MS,
                         )
                     )
                 case CallFailed():
-                    yield await self._lost(start)
+                    yield await self._connection_lost_event(start)
                 case CallStarted() if begun.request_id not in (
                     "",
                     request.request_id,
                 ):
-                    # Another request's answer must never reach this caller.
+                    # The answer belongs to another request and must never
+                    # reach this caller.
                     metrics.LATE_DROPPED.labels("crossed_at_target").inc()
-                    yield self._failed(agent_pb2.FAILED_TARGET_LOST)
+                    yield self._failed_event(agent_pb2.FAILED_TARGET_LOST)
                 case CallStarted():
-                    self._limit.answered(begun.limit, start, started_at)
-                    async for event in self._pass_on(
+                    self._limit.record_answer(begun.limit, start, started_at)
+                    async for event in self._relay_answer(
                         request, admitted, begun, started_at, start
                     ):
                         yield event
 
-    async def _pass_on(
+    async def _relay_answer(
         self,
         request: agent_pb2.RunRequest,
         admitted: Admitted,
@@ -195,7 +200,7 @@
             if begun.content_type.startswith(_EVENT_STREAM):
                 yield self._event(head=head)
             else:
-                gathered, is_whole = await _gather(pieces)
+                gathered, is_whole = await _read_bounded(pieces)
                 if is_whole:
                     whole = agent_pb2.RunWhole(head=head, body=gathered)
                     yield self._event(whole=whole)
@@ -205,36 +210,38 @@
             async for piece in pieces:
                 yield self._event(body=piece)
         except ConnectionError:
-            yield await self._lost(start)
+            yield await self._connection_lost_event(start)
             return
         yield self._event(end=True)
 
     async def _timed(
         self, body: AsyncIterator[bytes], started_at: float
     ) -> AsyncGenerator[bytes, None]:
-        """Passes pieces on and notes when the first came."""
+        """Yields the pieces and reports the time to the first one."""
         first = True
         async for piece in body:
             if first:
                 first = False
-                self._first_piece_seen(now_s() - started_at)
+                self._record_first_piece(now_s() - started_at)
             yield piece
 
-    def _refused(self, refused: Refused) -> agent_pb2.RunEvent:
+    def _refused_event(self, refused: Refused) -> agent_pb2.RunEvent:
         return self._event(
             refused=agent_pb2.RunRefused(
                 reason=refused.reason, retry_after_ms=refused.retry_after_ms
             )
         )
 
-    async def _lost(self, start: int) -> agent_pb2.RunEvent:
-        """The end of a run whose connection ended before its answer."""
-        crashed = await self._target.crashed(start)
-        if not crashed:
-            return self._failed(agent_pb2.FAILED_TARGET_LOST)
-        return self._failed(agent_pb2.FAILED_TARGET_CRASHED, crashed)
+    async def _connection_lost_event(self, start: int) -> agent_pb2.RunEvent:
+        """Returns the event for a connection that ended before its answer."""
+        crashed_start = await self._target.name_if_crashed(start)
+        if not crashed_start:
+            return self._failed_event(agent_pb2.FAILED_TARGET_LOST)
+        return self._failed_event(
+            agent_pb2.FAILED_TARGET_CRASHED, crashed_start
+        )
 
-    def _failed(
+    def _failed_event(
         self, reason: agent_pb2.FailureReason, target_start: str = ""
     ) -> agent_pb2.RunEvent:
         failed = agent_pb2.RunFailed(reason=reason, target_start=target_start)
@@ -244,8 +251,12 @@
         return agent_pb2.RunEvent(outstanding=self._gate.outstanding, **kind)
 
 
-async def _gather(pieces: AsyncIterator[bytes]) -> tuple[bytes, bool]:
-    """The body up to a size, and whether that is all of it."""
+async def _read_bounded(pieces: AsyncIterator[bytes]) -> tuple[bytes, bool]:
+    """Reads the body up to the size limit.
+
+    Returns:
+        The bytes read, and whether they are the whole body.
+    """
     gathered: list[bytes] = []
     size_bytes = 0
     async for piece in pieces:
@@ -257,7 +268,7 @@
 
 
 class _ClaimedOutcome:
-    """Gathers what a claimed run gave, for its settlement."""
+    """Collects the events of a claimed run for its settlement."""
 
     __slots__ = ("_answer", "_body", "_ended", "_size_bytes", "refused")
 
@@ -268,27 +279,27 @@
         self._body: list[bytes] = []
         self._size_bytes = 0
 
-    def take(self, event: agent_pb2.RunEvent) -> None:
+    def record(self, event: agent_pb2.RunEvent) -> None:
         match event.WhichOneof("kind"):
             case "refused":
                 self.refused = True
             case "head":
-                self._take_head(event.head)
+                self._add_head(event.head)
             case "body":
-                self._take_body(event.body)
+                self._add_body(event.body)
             case "whole":
-                self._take_head(event.whole.head)
-                self._take_body(event.whole.body)
+                self._add_head(event.whole.head)
+                self._add_body(event.whole.body)
                 self._ended = True
             case "end":
                 self._ended = True
 
-    def _take_head(self, head: agent_pb2.RunHead) -> None:
+    def _add_head(self, head: agent_pb2.RunHead) -> None:
         self._answer.status = head.status
         self._answer.content_type = head.content_type
         self._answer.version = head.version
 
-    def _take_body(self, piece: bytes) -> None:
+    def _add_body(self, piece: bytes) -> None:
         self._size_bytes += len(piece)
         if self._size_bytes <= _MAX_KEPT_BODY_BYTES:
             self._body.append(piece)
--- a/damaskcroft/agent/_settler.py
+++ b/damaskcroft/agent/_settler.py
@@ -1,4 +1,4 @@
-"""Tells control what became of claimed runs, until it is committed."""
+"""Reports the outcomes of claimed runs to control until they are committed."""
 
 import asyncio
 
@@ -12,35 +12,35 @@
 
 
 class Settler:
-    """Settles claims at whichever control replica leads.
+    """Settles claims at the control replica that leads.
 
     Args:
         pool: channels to control.
-        addresses: all control replicas.
+        addresses: addresses of all control replicas.
     """
 
     def __init__(self, pool: ChannelPool, addresses: list[str]):
-        """See the class."""
+        """Assumes the first replica to be the leader until a reply says so."""
         self._pool = pool
         self._addresses = addresses
         self._leader = addresses[0]
         self._tasks: set[asyncio.Task] = set()
 
     def settle_later(self, request: control_pb2.SettleRequest) -> None:
-        """Settles in the background, however long it takes."""
+        """Settles in the background, without a time limit."""
         task = asyncio.create_task(self.settle(request))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def settle(self, request: control_pb2.SettleRequest) -> None:
-        """Returns when the outcome is committed."""
+        """Retries with exponential backoff until the outcome is committed."""
         pause_s = _FIRST_PAUSE_S
         while not await self._try_once(request):
             await asyncio.sleep(pause_s)
             pause_s = min(pause_s * 2, _MAX_PAUSE_S)
 
     async def finish(self, timeout_s: float) -> None:
-        """Waits for all that is still to be settled, at a shutdown."""
+        """Waits at a shutdown for background settlements, up to a timeout."""
         if not self._tasks:
             return
         _, late = await asyncio.wait(self._tasks, timeout=timeout_s)
@@ -52,19 +52,19 @@
         try:
             reply = await stub.Settle(request, timeout=_CALL_TIMEOUT_S)
         except CALL_ERRORS:
-            self._try_next()
+            self._select_next_replica()
             return False
         if reply.committed:
             return True
         if reply.leader and reply.leader != self._leader:
             self._leader = reply.leader
         else:
-            self._try_next()
+            self._select_next_replica()
         return False
 
-    def _try_next(self) -> None:
+    def _select_next_replica(self) -> None:
         if self._leader not in self._addresses:
             self._leader = self._addresses[0]
             return
-        place = self._addresses.index(self._leader)
-        self._leader = self._addresses[(place + 1) % len(self._addresses)]
+        position = self._addresses.index(self._leader)
+        self._leader = self._addresses[(position + 1) % len(self._addresses)]
--- a/damaskcroft/agent/_staging.py
+++ b/damaskcroft/agent/_staging.py
@@ -1,4 +1,4 @@
-"""Gets the version that the records ask for onto this instance."""
+"""Staging of the version that the deployment records desire."""
 
 import asyncio
 
@@ -30,18 +30,18 @@
 
 
 class Stager:
-    """Runs one burst at a time, for the version now wanted.
+    """Runs one burst at a time, for the currently desired version.
 
     Args:
         own: this agent's announcement.
-        roster: the configuration.
-        store: where chunks are kept.
+        roster: the records and the live agents.
+        store: chunk store of this agent.
         sources: outside sources.
-        peers: how other agents are asked.
-        pacer: paces what comes in.
+        peers: client for requests to other agents.
+        pacer: paces downloads.
         options: bounds of a burst.
         strategy: name of the planner.
-        counts: where bytes are counted.
+        counts: byte counters.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         strategy: str,
         counts: BurstCounts,
     ):
-        """See the class."""
+        """Starts with no version desired or staged."""
         self._own = own
         self._roster = roster
         self._store = store
@@ -67,38 +67,39 @@
         self._strategy = strategy
         self.counts = counts
         self.staged_manifest = ""
-        self.wanted_manifest = ""
+        self.desired_manifest = ""
         self.changed = asyncio.Condition()
         self._burst: Burst | None = None
 
     async def run(self) -> None:
-        """Follows the records until cancelled."""
+        """Stages the version that the records desire, until cancelled."""
         work: asyncio.Task | None = None
-        wanted: records_pb2.Deployment | None = None
+        desired: records_pb2.Deployment | None = None
         try:
             while True:
-                found = self._wanted()
-                if found != wanted:
-                    wanted = found
-                    # A version no longer wanted stops its traffic at once.
+                found = self._desired()
+                if found != desired:
+                    desired = found
+                    # Traffic of a version no longer desired stops at once.
                     await cancelled(work)
                     work = None
-                    self.wanted_manifest = wanted.manifest if wanted else ""
-                    if wanted is not None:
-                        work = asyncio.create_task(self._stage(wanted))
-                    # A newer record may have come while work was stopped.
+                    self.desired_manifest = desired.manifest if desired else ""
+                    if desired is not None:
+                        work = asyncio.create_task(self._stage(desired))
+                    # A newer record may have arrived while the previous
+                    # staging was being cancelled.
                     continue
-                if wanted is not None and self._burst is not None:
-                    self._plan(self._burst, wanted)
+                if desired is not None and self._burst is not None:
+                    self._plan(self._burst, desired)
                 async with self._roster.changed:
                     await self._roster.changed.wait()
         finally:
             await cancelled(work)
 
     def report(self) -> control_pb2.BurstReport:
-        """Progress of the version now wanted."""
+        """Returns the progress of the currently desired version."""
         report = control_pb2.BurstReport(
-            manifest=self.wanted_manifest,
+            manifest=self.desired_manifest,
             origin_bytes=self.counts.origin_bytes,
             store_bytes=self.counts.store_bytes,
             peer_bytes=self.counts.peer_bytes,
@@ -106,37 +107,38 @@
             sent_bytes=self.counts.sent_bytes,
             corrupt_chunks=self.counts.corrupt_chunks,
         )
-        version = self._store.versions_by_digest.get(self.wanted_manifest)
+        version = self._store.versions_by_digest.get(self.desired_manifest)
         if version is not None:
             report.chunks_held = version.held_count
             report.chunks_total = len(version.held)
         return report
 
-    def _wanted(self) -> records_pb2.Deployment | None:
+    def _desired(self) -> records_pb2.Deployment | None:
         found = deployment_for(self._own, self._roster.records_by_key.values())
         if isinstance(found, UnsupportedSchema):
-            # Leave everything as it is until this process is upgraded.
-            return self._last_wanted
-        self._last_wanted = found
+            # This process can't read the record: it keeps the last known
+            # version until it is upgraded.
+            return self._last_desired
+        self._last_desired = found
         return found
 
-    _last_wanted: records_pb2.Deployment | None = None
+    _last_desired: records_pb2.Deployment | None = None
 
-    async def _stage(self, wanted: records_pb2.Deployment) -> None:
+    async def _stage(self, desired: records_pb2.Deployment) -> None:
         while True:
             try:
-                await self._stage_once(wanted)
+                await self._stage_once(desired)
                 return
             except (WeightsError, OSError) as error:
                 log_warning(
-                    "staging_failed", version=wanted.version, reason=error
+                    "staging_failed", version=desired.version, reason=error
                 )
                 await asyncio.sleep(_RETRY_S)
 
-    async def _stage_once(self, wanted: records_pb2.Deployment) -> None:
+    async def _stage_once(self, desired: records_pb2.Deployment) -> None:
         burst = Burst(
             self._own.id,
-            weights_path(wanted.model, wanted.adapter, wanted.version),
+            weights_path(desired.model, desired.adapter, desired.version),
             self._store,
             self._sources,
             self._peers,
@@ -144,32 +146,32 @@
             self._options,
             self.counts,
         )
-        self._plan(burst, wanted)
+        self._plan(burst, desired)
         self._burst = burst
-        content = await burst.fetch_manifest(wanted.manifest)
-        keep = {wanted.manifest, self.staged_manifest}
+        content = await burst.fetch_manifest(desired.manifest)
+        keep = {desired.manifest, self.staged_manifest}
         version = self._store.open_version(content, keep)
         log_event(
             "staging",
-            version=wanted.version,
-            manifest=wanted.manifest[:12],
+            version=desired.version,
+            manifest=desired.manifest[:12],
             held=version.held_count,
             chunks=len(version.held),
         )
-        whole = False
-        while not whole:
+        is_complete = False
+        while not is_complete:
             await burst.run(version)
-            whole = await asyncio.to_thread(version.verify_whole)
-        log_event("staged", version=wanted.version, chunks=len(version.held))
+            is_complete = await asyncio.to_thread(version.verify_whole)
+        log_event("staged", version=desired.version, chunks=len(version.held))
         async with self.changed:
-            self.staged_manifest = wanted.manifest
+            self.staged_manifest = desired.manifest
             self.changed.notify_all()
 
-    def _plan(self, burst: Burst, wanted: records_pb2.Deployment) -> None:
+    def _plan(self, burst: Burst, desired: records_pb2.Deployment) -> None:
         members = [
             Participant(agent.id, agent.address, agent.failure_domain)
             for agent in self._roster.live_agents()
-            if matches(wanted.targets, agent) and agent.id != self._own.id
+            if matches(desired.targets, agent) and agent.id != self._own.id
         ]
         members.append(
             Participant(
@@ -178,5 +180,5 @@
         )
         burst.plan_with(
             make_planner(self._strategy, self._own.id, members),
-            help_share(wanted.policy, wanted.origin_copies_cap, len(members)),
+            help_share(desired.policy, desired.origin_copies_cap, len(members)),
         )
--- a/damaskcroft/agent/_target_limit.py
+++ b/damaskcroft/agent/_target_limit.py
@@ -1,4 +1,7 @@
-"""The rate that an agent's target names; the agent is its only sender."""
+"""Rate limit of one target, kept by its agent for all entries together.
+
+All requests to the target pass its agent, so one token bucket suffices.
+"""
 
 from damaskcroft.agent._crashes import TargetWatch
 from damaskcroft.limits import LimitBook, LimitWord, RateLimits
@@ -7,34 +10,36 @@
 
 
 class TargetLimit:
-    """Keeps the rate of one target, for all entries together.
+    """Applies the rate limit that one target announces in its answers.
 
     Args:
-        target: tells its starts apart; a new one begins without a limit.
+        target: numbers the target's starts; each begins without a limit.
     """
 
     __slots__ = ("_limits", "_target")
 
     def __init__(self, target: TargetWatch):
-        """See the class."""
+        """Starts without a limit."""
         self._target = target
-        book = LimitBook()
-        self._limits = RateLimits(book, "", frozenset, book.take_all)
+        registry = LimitBook()
+        self._limits = RateLimits(registry, "", frozenset, registry.take_all)
 
-    def answered(self, word: LimitWord, start: int, sent_at: float) -> None:
-        """Takes what an answer says.
+    def record_answer(
+        self, header: LimitWord, start: int, sent_at: float
+    ) -> None:
+        """Records the rate limit that an answer announces.
 
         Args:
-            word: the limit, or that none is named.
-            start: number of the target's start that was asked.
+            header: the limit, or that none is announced.
+            start: number of the target's start that gave the answer.
             sent_at: loop time at which the request was sent.
         """
-        self._limits.answered(str(start), word, sent_at)
+        self._limits.answered(str(start), header, sent_at)
 
     def wait_s(self) -> float:
-        """Until the target takes a request; 0 if it does now."""
+        """Returns the time until a request may be sent; 0 for now."""
         return self._limits.waits_s(str(self._target.start))
 
-    def sending(self) -> None:
-        """Takes a token for a request that is about to be sent."""
+    def consume_token(self) -> None:
+        """Consumes a token for a request that is about to be sent."""
         self._limits.sending(str(self._target.start))
--- a/damaskcroft/agent/_version_choice.py
+++ b/damaskcroft/agent/_version_choice.py
@@ -1,44 +1,44 @@
-"""Which version a target should hold, and which one to bring first."""
+"""Choice of the version that a target should hold, and of the next to fetch."""
 
 import dataclasses
 import math
 
 from damaskcroft._generated import fleet_pb2
 from damaskcroft.agent._fleet_agent import FleetAgent
-from damaskcroft.agent._version_order import NamedVersion, version_to_bring
+from damaskcroft.agent._version_order import CandidateVersion, version_to_fetch
 from damaskcroft.fleet import FleetView, may_serve
 from damaskcroft.units import bytes_per_s
 from damaskcroft.weights import ChunkStore, StagedVersion, weights_path
 
-__all__ = ["VersionChoice", "Wanted", "origin_bytes_s", "origin_of"]
+__all__ = ["ModelVersion", "VersionChoice", "origin_bytes_s", "origin_of"]
 
-# What a burst has been seen to use of the narrowest link.
-_SHARE_OF_LINK = 0.7
+# Share of the narrowest link that bursts have been observed to use.
+_LINK_UTILISATION = 0.7
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wanted:
-    """A version that the target should hold."""
+class ModelVersion:
+    """A version of a model's weights."""
 
     model: str
     version: int
 
     @property
     def path(self) -> str:
-        """Where outside sources keep it."""
+        """Path of the version at outside sources."""
         return weights_path(self.model, "", str(self.version))
 
 
 class VersionChoice:
-    """Chooses the version that one agent brings.
+    """Chooses the version that one agent stages.
 
     Args:
         own: the agent.
-        view: goals, and what other targets hold.
-        store: what has come of each version.
-        link_bytes_s: the rate of the agent's link.
-        weights_s: from a named version until no request may begin on an older
-            one; 0 for no bound.
+        view: desired versions, and the versions that other targets hold.
+        store: the chunks received of each version.
+        link_bytes_s: rate of the agent's link.
+        weights_s: time from the announcement of a version until no request
+            may begin on an older one; 0 for no bound.
     """
 
     __slots__ = ("_link_bytes_s", "_own", "_store", "_view", "_weights_s")
@@ -51,19 +51,20 @@
         link_bytes_s: float,
         weights_s: float,
     ):
-        """See the class."""
+        """Stores the arguments; each call reads their current state."""
         self._own = own
         self._view = view
         self._store = store
         self._link_bytes_s = link_bytes_s
         self._weights_s = weights_s
 
-    def wanted(self) -> Wanted | None:
-        """The version to hold.
+    def version_to_stage(self) -> ModelVersion | None:
+        """Returns the version that the target should hold.
 
-        The goal, or an older version on the way to it (see `_version_order`);
-        without one what control recorded as in service, which outlives every
-        target; before it has, what the other targets hold.
+        This is the desired version, or an older one on the way to it (see
+        `_version_order`). Without a desired version it is the one that control
+        recorded as in service, because that record outlives every target.
+        Without a record it is the version that the other targets hold.
         """
         table = self._view.table
         if table is None:
@@ -72,58 +73,63 @@
         if service is None:
             return None
         for model in service.engine.models:
-            version = self._wanted_version(model.name)
+            version = self._chosen_version(model.name)
             if version:
-                return Wanted(model.name, version)
+                return ModelVersion(model.name, version)
         return None
 
-    def _wanted_version(self, model: str) -> int:
-        goal = self._view.goal_by_model.get(model)
-        if goal is not None:
-            return self._version_to_bring(goal)
+    def _chosen_version(self, model: str) -> int:
+        desired = self._view.goal_by_model.get(model)
+        if desired is not None:
+            return self._version_to_fetch(desired)
         served = self._view.served_by_model.get(model)
         return served or self._held_by_others(model)
 
-    def _version_to_bring(self, goal: fleet_pb2.WeightGoal) -> int:
-        held = self._held_version(goal.model)
-        begun_by_version = self._begun_between(held, goal)
-        if not begun_by_version:
-            return goal.version
+    def _version_to_fetch(self, desired: fleet_pb2.WeightGoal) -> int:
+        held = self._held_version(desired.model)
+        partial_by_version = self._partial_versions(held, desired)
+        if not partial_by_version:
+            return desired.version
         older = [
-            NamedVersion(
+            CandidateVersion(
                 version,
-                begun.missing_bytes,
-                self._ends_in_s(goal.model, version),
+                partial.missing_bytes,
+                self._expires_in_s(desired.model, version),
             )
-            for version, begun in sorted(begun_by_version.items())
+            for version, partial in sorted(partial_by_version.items())
         ]
-        newest = self._store.version_at(Wanted(goal.model, goal.version).path)
-        # Before its manifest is here, it is taken to be as large as another.
+        newest = self._store.version_at(
+            ModelVersion(desired.model, desired.version).path
+        )
+        # Before its manifest is known, the newest version is assumed to be as
+        # large as the largest older one.
         missing_bytes = (
             newest.missing_bytes
             if newest
-            else max(begun.size_bytes for begun in begun_by_version.values())
+            else max(
+                partial.size_bytes for partial in partial_by_version.values()
+            )
         )
-        return version_to_bring(
-            [*older, NamedVersion(goal.version, missing_bytes)],
-            self._ends_in_s(goal.model, held),
+        return version_to_fetch(
+            [*older, CandidateVersion(desired.version, missing_bytes)],
+            self._expires_in_s(desired.model, held),
             self._rate_bytes_s(),
         )
 
-    def _begun_between(
-        self, held: int, goal: fleet_pb2.WeightGoal
+    def _partial_versions(
+        self, held: int, desired: fleet_pb2.WeightGoal
     ) -> dict[int, StagedVersion]:
-        """What has come of versions between the held one and the goal."""
-        begun_by_version = {}
-        for version in self._view.goal_since_by_model.get(goal.model, {}):
-            path = Wanted(goal.model, version).path
-            begun = self._store.version_at(path)
-            if begun is not None and held < version < goal.version:
-                begun_by_version[version] = begun
-        return begun_by_version
+        """Returns partly fetched versions between the held and the desired."""
+        partial_by_version = {}
+        for version in self._view.goal_since_by_model.get(desired.model, {}):
+            path = ModelVersion(desired.model, version).path
+            partial = self._store.version_at(path)
+            if partial is not None and held < version < desired.version:
+                partial_by_version[version] = partial
+        return partial_by_version
 
     def _held_version(self, model: str) -> int:
-        """The newest version that the target serves; 0 for none."""
+        """Returns the newest version that the target serves; 0 for none."""
         return max(
             (
                 part.version
@@ -133,8 +139,8 @@
             default=0,
         )
 
-    def _ends_in_s(self, model: str, version: int) -> float:
-        """From now until no request may begin on a version."""
+    def _expires_in_s(self, model: str, version: int) -> float:
+        """Returns the time until no request may begin on a version."""
         if not version:
             return 0.0
         if not self._weights_s:
@@ -142,19 +148,19 @@
         return self._view.ends_in_s(model, version, self._weights_s)
 
     def _rate_bytes_s(self) -> float:
-        """What a burst brings here, by the rates of the links it uses."""
+        """Estimates a burst's rate at this agent from the links it uses."""
         outside_bytes_s = origin_bytes_s(self._view) or self._link_bytes_s
-        return _SHARE_OF_LINK * min(self._link_bytes_s, outside_bytes_s)
+        return _LINK_UTILISATION * min(self._link_bytes_s, outside_bytes_s)
 
-    def newer_than(self, wanted: Wanted | None) -> Wanted | None:
-        """The goal, where an older version on the way to it is wanted."""
-        goal = wanted and self._view.goal_by_model.get(wanted.model)
-        if not wanted or not goal or goal.version <= wanted.version:
+    def newer_than(self, chosen: ModelVersion | None) -> ModelVersion | None:
+        """Returns the desired version if the chosen one is older; else None."""
+        desired = chosen and self._view.goal_by_model.get(chosen.model)
+        if not chosen or not desired or desired.version <= chosen.version:
             return None
-        return Wanted(goal.model, goal.version)
+        return ModelVersion(desired.model, desired.version)
 
     def _held_by_others(self, model: str) -> int:
-        """The newest version that any target of the service serves."""
+        """Returns the newest version that any target of the service holds."""
         versions = [
             held.version
             for state in self._view.book.believed()
@@ -166,12 +172,12 @@
 
 
 def origin_of(view: FleetView) -> fleet_pb2.Service | None:
-    """The service that gives weights; None if the configuration names none."""
+    """Returns the configured origin of weights; None without one."""
     services = view.table.services_by_name.values() if view.table else ()
     return next((service for service in services if service.origin), None)
 
 
 def origin_bytes_s(view: FleetView) -> float:
-    """The rate of the origin's link; 0 where nobody tells."""
+    """Returns the rate of the origin's link; 0 if it is not known."""
     origin = origin_of(view)
     return bytes_per_s(origin.origin_link_mbps) if origin else 0.0
--- a/damaskcroft/agent/_weights_guard.py
+++ b/damaskcroft/agent/_weights_guard.py
@@ -1,10 +1,10 @@
-"""Makes a target refuse old weights by itself once their time has come.
+"""Removal of expired weights from a target, so that late requests can't start.
 
-Entries stop sending to targets with old weights in time, by the delays that
-they have seen. What has left an entry can't be called back, though: over a link
-that has filled meanwhile it arrives when it arrives, and begins there. The
-agent stands on the target's own machine, with no link between them, so it takes
-the old weights away from under whatever comes late.
+Entries stop sending to targets with old weights before these expire, by the
+delays that they have measured. A request that has left an entry can't be called
+back, though: if the link has filled meanwhile, the request arrives late and
+would begin on expired weights. The agent runs on the target's own machine, with
+no link between them, so it removes the old weights in time.
 """
 
 import math
@@ -17,41 +17,45 @@
 
 __all__ = ["WeightsGuard", "guarded_goals"]
 
-# Old weights are given up so long before the time by which requests must begin
-# on newer ones: what came before may wait in the target's queue for this long
-# before it begins. Entries leave the target 0.6 s before that (see Services).
-_GIVE_UP_S = 0.5
-# Where the link is known to be quick, entries can take back in time what has
-# not begun, and the newer weights may still come; so the old ones get more.
-_GIVE_UP_LAST_S = 0.3
-# An agent that is told to end is away for a second or two, and then has to hear
-# of the versions again.
-_AWAY_S = 3.0
+# Old weights are dropped this long before the time from which requests must
+# begin on newer ones, because a request received earlier may wait that long in
+# the target's queue. Entries stop sending to the target 0.6 s before the drop
+# (see Services).
+_DROP_BEFORE_S = 0.5
+# The same if the link is known to be quick: entries can then withdraw requests
+# that have not begun in time, and the newer weights may still arrive, so the
+# old ones are kept for longer.
+_DROP_BEFORE_QUICK_LINK_S = 0.3
+# An agent that is restarted is away for a second or two, and then has to
+# receive the announced versions again.
+_RESTART_S = 3.0
 
 
 def guarded_goals(
     view: FleetView, service: str, weights_s: float
 ) -> list[fleet_pb2.WeightGoal]:
-    """The newest versions that an agent can guard at a target of a service.
+    """Returns the newest versions that an agent can guard at its target.
 
-    A version whose age nobody knows is none: the agent can't tell when.
+    To guard a version is to drop older weights once they expire. A version of
+    unknown age is left out, because the agent can't tell when that is.
 
     Args:
-        view: what the agent knows.
-        service: its target's.
-        weights_s: from a named version until no request may begin on an older
-            one; 0 for no bound.
+        view: the agent's view of the fleet.
+        service: name of the target's service.
+        weights_s: time from the announcement of a version until no request
+            may begin on an older one; 0 for no bound.
 
     Returns:
-        One goal for each model; none if the targets load models in one piece,
-        of which nothing can be given up.
+        One version for each model; none if the targets load models in one
+        piece, because no part of it can be dropped.
     """
     table = view.table
     known = table.services_by_name.get(service) if table else None
     if known is None or known.engine.layers < 2 or not weights_s:
         return []
     newest = (
-        (m.name, _newest_timed(view, m.name)) for m in known.engine.models
+        (m.name, _newest_of_known_age(view, m.name))
+        for m in known.engine.models
     )
     return [
         fleet_pb2.WeightGoal(model=model, version=version)
@@ -60,22 +64,26 @@
     ]
 
 
-def _newest_timed(view: FleetView, model: str) -> int:
-    named = view.goal_since_by_model.get(model, {})
-    return max((v for v, at in named.items() if math.isfinite(at)), default=0)
+def _newest_of_known_age(view: FleetView, model: str) -> int:
+    accepted_at_by_version = view.goal_since_by_model.get(model, {})
+    return max(
+        (v for v, at in accepted_at_by_version.items() if math.isfinite(at)),
+        default=0,
+    )
 
 
 class WeightsGuard:
-    """Gives up a target's old weights when nothing may begin on them.
+    """Drops a target's old weights when no request may begin on them.
 
     Args:
-        view: which versions were named, and when.
+        view: the announced versions and their times.
         engine: the target.
         weights_s: see `guarded_goals`.
-        link_is_quick: whether signs of right now say so; silence is no sign.
+        link_is_quick: returns whether current measurements show a short delay
+            of the link; without measurements it returns False.
     """
 
-    __slots__ = ("_engine", "_link_is_quick", "_seen", "_view", "_weights_s")
+    __slots__ = ("_engine", "_held", "_link_is_quick", "_view", "_weights_s")
 
     def __init__(
         self,
@@ -84,55 +92,63 @@
         weights_s: float,
         link_is_quick: Callable[[], bool],
     ):
-        """See the class."""
+        """Starts before the first report of the target."""
         self._view = view
         self._engine = engine
         self._weights_s = weights_s
         self._link_is_quick = link_is_quick
-        # What the target was last seen to hold.
-        self._seen: tuple[fleet_pb2.HeldLayers, ...] = ()
+        # Weights that the target held in its last report.
+        self._held: tuple[fleet_pb2.HeldLayers, ...] = ()
 
-    def note(self, report: EngineReport) -> None:
-        """Takes note of what the target holds."""
-        self._seen = report.held
+    def record_report(self, report: EngineReport) -> None:
+        """Records what the target holds."""
+        self._held = report.held
 
-    def near_in_s(self) -> float:
-        """Until old weights may have to be given up; infinite if never.
+    def due_in_s(self) -> float:
+        """Returns the time until old weights may be due; infinite if never.
 
-        Zero or less: they are to be looked at now.
+        Zero or less means that `drop_if_due` must be called now.
         """
-        part = self._outdated(self._seen)
-        return math.inf if part is None else self._left_s(part) - _GIVE_UP_S
+        part = self._outdated(self._held)
+        return (
+            math.inf
+            if part is None
+            else self._part_left_s(part) - _DROP_BEFORE_S
+        )
 
-    async def act(self, report: EngineReport, staged_version: int) -> bool:
-        """Gives up old weights if their time has come.
+    async def drop_if_due(
+        self, report: EngineReport, staged_version: int
+    ) -> bool:
+        """Drops old weights if they are due.
 
         Args:
-            report: the target's state right now.
-            staged_version: what is ready to be loaded; its order takes the old
-                weights away as well.
+            report: the target's current state.
+            staged_version: version that is ready to be loaded; the order to
+                load it removes the old weights as well.
 
         Returns:
-            Whether an order was given.
+            Whether an order was accepted.
         """
-        self.note(report)
+        self.record_report(report)
         part = self._outdated(report.held)
         if part is None or report.busy:
             return False
-        left_s = self._left_s(part)
-        if left_s > _GIVE_UP_S:
+        left_s = self._part_left_s(part)
+        if left_s > _DROP_BEFORE_S:
             return False
         is_ready = staged_version > part.version
-        if left_s > _GIVE_UP_LAST_S and (is_ready or self._link_is_quick()):
+        if left_s > _DROP_BEFORE_QUICK_LINK_S and (
+            is_ready or self._link_is_quick()
+        ):
             return False
-        return await self.give_up(report)
+        return await self.drop_old_weights(report)
 
-    def is_due_while_away(self, report: EngineReport) -> bool:
-        """Whether old weights come due before a next process would act."""
-        return self.left_s(report) <= _AWAY_S
+    def is_due_during_restart(self, report: EngineReport) -> bool:
+        """Returns whether old weights are due before a next process can act."""
+        return self.time_left_s(report) <= _RESTART_S
 
-    async def give_up(self, report: EngineReport) -> bool:
-        """Gives up old weights right now; whether an order was given."""
+    async def drop_old_weights(self, report: EngineReport) -> bool:
+        """Drops old weights now; returns whether the order was accepted."""
         part = self._outdated(report.held)
         if part is None:
             return False
@@ -142,14 +158,14 @@
             first_layer=part.first_layer,
             end_layer=part.first_layer + 1,
         )
-        # What runs has begun in time; let it end.
+        # Running requests have begun in time and may end.
         order = await self._engine.keep_only(kept, report.sequence)
         metrics.ORDERS.labels("keep_only", type(order).__name__).inc()
         log_event(
             "old_weights_given_up",
             version=part.version,
             running=report.running,
-            left_s=self._left_s(part),
+            left_s=self._part_left_s(part),
             outcome=order,
         )
         return isinstance(order, OrderAccepted)
@@ -157,24 +173,28 @@
     def _outdated(
         self, held: Iterable[fleet_pb2.HeldLayers]
     ) -> fleet_pb2.HeldLayers | None:
-        """Held layers older than a named version; one alone serves nothing."""
+        """Returns held layers that are older than an announced version.
+
+        A single layer is skipped, because it can't serve requests.
+        """
         for part in held:
             if part.end_layer - part.first_layer < 2:
                 continue
-            if self._left_s(part) < math.inf:
+            if self._part_left_s(part) < math.inf:
                 return part
         return None
 
-    def left_s(self, report: EngineReport) -> float:
-        """Until nothing may begin on what is held; infinite if none is due."""
+    def time_left_s(self, report: EngineReport) -> float:
+        """Returns the time until the held weights expire, infinite if never."""
         part = self._outdated(report.held)
-        return math.inf if part is None else self._left_s(part)
+        return math.inf if part is None else self._part_left_s(part)
 
-    def _left_s(self, part: fleet_pb2.HeldLayers) -> float:
-        """Until nothing may begin on these layers; infinite if none is due.
+    def _part_left_s(self, part: fleet_pb2.HeldLayers) -> float:
+        """Returns the time until no request may begin on these layers.
 
-        A version whose age nobody knows is left to entries, which send nothing
-        to older ones: its age may come with the next word.
+        It is infinite if they don't expire. A version of unknown age is left
+        to entries, which send nothing to older ones: its age may come with the
+        next update.
         """
         if not self._weights_s:
             return math.inf
--- a/damaskcroft/agent/_yielding.py
+++ b/damaskcroft/agent/_yielding.py
@@ -1,4 +1,4 @@
-"""Live requests first: weight traffic yields when first tokens get slow."""
+"""Throttling of weight transfers while live requests have slow first tokens."""
 
 import asyncio
 
@@ -12,34 +12,36 @@
 
 
 class LiveGuard:
-    """Additive increase, multiplicative decrease of the link's share.
+    """Controls the link share of weight transfers (AIMD).
 
-    After Chiu and Jain, "Analysis of the Increase and Decrease Algorithms for
-    Congestion Avoidance in Computer Networks" (1989).
+    Additive increase, multiplicative decrease, after Chiu and Jain, "Analysis
+    of the Increase and Decrease Algorithms for Congestion Avoidance in
+    Computer Networks" (1989).
 
     Args:
-        limit_s: first-token time above which weight traffic yields.
-        pacers: what is slowed.
+        limit_s: time to the first token above which weight transfers slow
+            down.
+        pacers: pacers of the weight transfers.
     """
 
     def __init__(self, limit_s: float, pacers: list[Pacer]):
-        """See the class."""
+        """Starts without measurements; the shares are left as they are."""
         self._limit_s = limit_s
         self._pacers = pacers
         self._smoothed_s = 0.0
-        self._seen = False
+        self._has_samples = False
 
-    def first_piece_seen(self, took_s: float) -> None:
-        """Takes one request's time to its first body piece."""
-        self._seen = True
+    def record_first_piece(self, took_s: float) -> None:
+        """Records the time that one request took to its first body piece."""
+        self._has_samples = True
         self._smoothed_s += _SMOOTHING * (took_s - self._smoothed_s)
 
     async def run(self) -> None:
         """Adjusts the shares until cancelled."""
         while True:
             await asyncio.sleep(_TICK_S)
-            slow = self._seen and self._smoothed_s > self._limit_s
-            self._seen = False
+            slow = self._has_samples and self._smoothed_s > self._limit_s
+            self._has_samples = False
             for pacer in self._pacers:
                 if slow:
                     pacer.share *= _DECREASE
--- a/damaskcroft/agent/main.py
+++ b/damaskcroft/agent/main.py
@@ -1,4 +1,4 @@
-"""damask-agent: announces, feeds, orders and guards one target."""
+"""damask-agent: admission, weight staging and orders for one target."""
 
 import asyncio
 import pathlib
@@ -50,17 +50,17 @@
 )
 
 _SETTLE_AT_STOP_S = 10.0
-# Entries learn of a drain within this time; then nothing new comes.
+# Entries learn of a drain within this time and then send no new requests.
 _DRAIN_NOTICE_S = 0.5
 
 app = typer.Typer(pretty_exceptions_enable=False, add_completion=False)
 
 
 class AgentProcess:
-    """Everything one agent owns, wired together."""
+    """Wires the components of one agent together."""
 
     def __init__(self, settings: settings_pb2.AgentSettings, keys: Keys):
-        """Builds the parts; `serve` runs them."""
+        """Builds the components; `serve` runs them."""
         self._settings = settings
         self._keys = keys
         self._incarnation = secrets.token_hex(8)
@@ -100,7 +100,7 @@
             self._settler,
             watch,
             limit,
-            self._guard.first_piece_seen,
+            self._guard.record_first_piece,
         )
         folder = pathlib.Path(settings.process.data_folder) / "weights"
         self._store = FolderStore(folder, burst.store_budget_bytes)
@@ -164,7 +164,7 @@
         return work
 
     async def _drain(self) -> None:
-        """Takes no new work, and cuts off none that is running."""
+        """Refuses new requests and lets the running ones end."""
         self._gate.draining = True
         self._client.report_soon()
         log_event("draining", outstanding=self._gate.outstanding)
@@ -185,7 +185,7 @@
         self._pool.close()
 
     async def _follow_drain_records(self) -> None:
-        """An operator's drain record shuts the gate to new work."""
+        """Closes the gate to new requests while a drain record is in force."""
         roster = self._client.roster
         key = ("drain", self._announcement.id)
         while True:
@@ -230,7 +230,7 @@
             applied_revision=self._client.roster.revision,
             staged_manifest=self._stager.staged_manifest,
             held_up_by=self._activator.held_up.reason,
-            held_up_ms=self._activator.held_up.for_ms(),
+            held_up_ms=self._activator.held_up.duration_as_ms(),
         )
 
     def _phase(self) -> control_pb2.Phase:
@@ -311,5 +311,5 @@
 
 
 def main() -> None:
-    """Entry point of the program."""
+    """Runs the command-line program."""
     app()
--- a/damaskcroft/agent/tests/test_activation.py
+++ b/damaskcroft/agent/tests/test_activation.py
@@ -1,9 +1,9 @@
-"""An order that isn't carried out: the agent says why, and tries on.
+"""Delayed orders: the agent reports the reason and keeps retrying.
 
-What happened: with its target out of reach, an agent logged `staged` and then
-nothing for a minute, and its report said `activating` all the while. A target
-that had been started again in the middle of a load had forgotten the order;
-its agent asked it for ever whether it had loaded.
+These tests guard against two failures. With its target unreachable, an agent
+logged `staged` and then nothing for a minute, while its report said
+`activating`. A target that restarted during a load had lost the order, and its
+agent polled without end for a load that was not in progress.
 """
 
 import asyncio
@@ -26,27 +26,27 @@
 
 
 class Target:
-    """A target that can be away, and that can forget what it was told."""
+    """A target that can be unreachable, fail orders or lose them."""
 
     def __init__(self):
-        self.away = False
-        self.forgets = 0
-        self.fails = 0
+        self.is_unreachable = False
+        self.lost_loads = 0
+        self.failed_loads = 0
         self.loaded = ()
         self.active = ""
         self.loads = 0
 
     async def state(self):
-        if self.away:
+        if self.is_unreachable:
             return EngineUnreachable()
         return EngineState(self.active, self.loaded, {})
 
     async def load(self, order):
-        if self.fails:
-            self.fails -= 1
+        if self.failed_loads:
+            self.failed_loads -= 1
             return OrderFailed("no answer")
         self.loads += 1
-        if self.loads > self.forgets:
+        if self.loads > self.lost_loads:
             self.loaded = (order.assignment.manifest,)
         return OrderAccepted()
 
@@ -75,11 +75,11 @@
 
 
 class Stager:
-    wanted_manifest = staged_manifest = MANIFEST
+    desired_manifest = staged_manifest = MANIFEST
 
 
 class World:
-    """One agent's activator with an order to carry out."""
+    """One agent's activator with an assignment to carry out."""
 
     def __init__(self):
         self.target = Target()
@@ -107,7 +107,7 @@
         self.running = None
 
     def pass_time(self, loop, seconds):
-        """Lets the activator work; it begins with the first call."""
+        """Advances virtual time; the first call starts the activator."""
         if self.running is None:
             self.running = loop.create_task(self.activator.run())
         loop.pass_time(seconds)
@@ -123,44 +123,44 @@
     loop.run(end_all([world.running]))
 
 
-async def lasted_s(held_up):
-    return held_up.for_s()
+async def read_duration_s(held_up):
+    return held_up.duration_s()
 
 
-def test_a_target_out_of_reach_is_told_and_tried_until_it_is_back(
+def test_unreachable_target_is_reported_and_retried_until_it_returns(
     loop, world, caplog
 ):
-    world.target.away = True
+    world.target.is_unreachable = True
     with caplog.at_level("INFO"):
         world.pass_time(loop, 30.0)
         held_up = world.activator.held_up
         assert held_up.reason == control_pb2.HELD_UP_TARGET_UNREACHABLE
-        assert 29.0 < loop.run(lasted_s(held_up)) < 31.0
+        assert 29.0 < loop.run(read_duration_s(held_up)) < 31.0
         lines = [t for t in caplog.messages if "event=order_held_up" in t]
         assert 1 < len(lines) < 10
         assert all("reason=target_unreachable" in line for line in lines)
-        world.target.away = False
+        world.target.is_unreachable = False
         world.pass_time(loop, 5.0)
     assert world.gate.is_open
     assert world.activator.held_up.reason == control_pb2.HELD_UP_BY_NOTHING
     assert any("event=order_goes_on" in text for text in caplog.messages)
 
 
-def test_a_load_that_a_restarted_target_forgot_is_ordered_again(loop, world):
-    world.target.forgets = 1
+def test_load_lost_by_a_target_restart_is_ordered_again(loop, world):
+    world.target.lost_loads = 1
     world.pass_time(loop, 300.0)
     assert world.gate.is_open
     assert world.target.loads == 2
 
 
-def test_a_load_that_lasts_is_told(loop, world):
-    world.target.forgets = 100
+def test_long_load_is_reported(loop, world):
+    world.target.lost_loads = 100
     world.pass_time(loop, 15.0)
     held_up = world.activator.held_up
     assert held_up.reason == control_pb2.HELD_UP_LOAD_UNENDED
 
 
-def test_requests_that_do_not_end_are_told(loop, world):
+def test_requests_that_do_not_end_are_reported(loop, world):
     with world.gate.running():
         world.pass_time(loop, 15.0)
         held_up = world.activator.held_up
@@ -169,7 +169,7 @@
     assert world.gate.is_open
 
 
-def test_weights_that_are_missing_are_told(loop, world):
+def test_missing_weights_are_reported(loop, world):
     world.store.versions_by_digest[MANIFEST].verified = False
     try:
         world.pass_time(loop, 15.0)
@@ -179,7 +179,7 @@
         Version.verified = True
 
 
-def test_an_order_without_an_answer_is_given_again(loop, world):
-    world.target.fails = 3
+def test_unanswered_order_is_sent_again(loop, world):
+    world.target.failed_loads = 3
     world.pass_time(loop, 10.0)
     assert world.gate.is_open
--- a/damaskcroft/agent/tests/test_burst_over_links.py
+++ b/damaskcroft/agent/tests/test_burst_over_links.py
@@ -1,8 +1,9 @@
-"""Whole bursts over links with a rate, in virtual time, with faults.
+"""Whole bursts over links of limited rate, in virtual time, with faults.
 
-Fourteen agents in three regions; a version takes an agent's link 4.4 s and
-the origin's 1.7 s. Figures before are those of bursts that cut their rescues
-after 0.5 s and read nothing outside beyond their share until late.
+The fleet has fourteen agents in three regions; a version takes 4.4 s over an
+agent's link and 1.7 s over the origin's. Earlier figures in the docstrings are
+those of bursts that cancelled rescue reads after 0.5 s and read chunks outside
+their share from the origin only late.
 """
 
 import asyncio
@@ -14,8 +15,8 @@
 WITHIN_S = 30.0
 
 
-# Eighteen agents in five regions behind a slow origin: a version takes an
-# agent's link 5.2 s, the origin's 4.3 s.
+# Eighteen agents in five regions behind a slow origin: a version takes 5.2 s
+# over an agent's link and 4.3 s over the origin's.
 SLOW_ORIGIN = FleetShape(
     agents_by_region=(4, 4, 4, 3, 3),
     agent_mbps=3.65,
@@ -27,8 +28,9 @@
 )
 
 
-# Ten agents in three regions behind an origin that gives a chunk to each of
-# them in 0.3 s: a version takes an agent's link 5.2 s, the origin's 3 s.
+# Ten agents in three regions behind an origin that sends a chunk to each of
+# them in 0.3 s: a version takes 5.2 s over an agent's link and 3 s over the
+# origin's.
 FEW_AGENTS = FleetShape(
     agents_by_region=(3, 3, 4),
     agent_mbps=3.65,
@@ -41,23 +43,23 @@
 
 
 @pytest.fixture
-def play(loop):
-    """Plays a burst; `events` are times and what is done to the fleet then."""
+def simulate(loop):
+    """Simulates a burst; `events` are times and actions on the fleet."""
 
-    def run(seed, *events, before=lambda fleet: None, shape=FleetShape()):
+    def run(seed, *events, prepare=lambda fleet: None, shape=FleetShape()):
         async def scenario():
             fleet = Fleet(shape, seed)
-            before(fleet)
-            doing = asyncio.create_task(carry_out(fleet))
+            prepare(fleet)
+            acting = asyncio.create_task(carry_out(fleet))
             await fleet.bring_all(WITHIN_S)
-            doing.cancel()
+            acting.cancel()
             return fleet
 
         async def carry_out(fleet):
             began_at = loop.time()
-            for at, do in events:
+            for at, act in events:
                 await asyncio.sleep(began_at + at - loop.time())
-                do(fleet)
+                act(fleet)
 
         return loop.run(scenario())
 
@@ -68,122 +70,131 @@
     return f"10.{region}.0.{number}:1"
 
 
-def origin_goes(fleet):
+def fail_origin(fleet):
     fleet.is_origin_away = True
 
 
-def origin_returns(fleet):
+def restore_origin(fleet):
     fleet.is_origin_away = False
 
 
-def two_freeze(fleet):
+def freeze_two(fleet):
     fleet.freeze(address(1, 0), 4.0)
     fleet.freeze(address(1, 1), 4.0)
 
 
-def two_links_narrow(fleet):
+def narrow_two_links(fleet):
     fleet.set_rate(address(1, 0), 0.95)
     fleet.set_rate(address(0, 1), 0.95)
 
 
-def half_of(times):
+def middle_of(times):
     return times[len(times) // 2]
 
 
 @pytest.mark.parametrize("seed", [1])
-def test_on_a_calm_day_little_more_than_a_copy_is_read_outside(play, seed):
-    """Before: 1.1 copies, and the last agent whole after 6.5 s."""
-    fleet = play(seed)
+def test_without_faults_little_more_than_one_copy_is_read_outside(
+    simulate, seed
+):
+    """Earlier: 1.1 copies, and the last agent complete after 6.5 s."""
+    fleet = simulate(seed)
     assert fleet.whole_times()[-1] < 6.6
     assert len(fleet.read_outside) < 1.35 * fleet.shape.chunks
 
 
 @pytest.mark.parametrize("seed", [1])
-def test_an_origin_that_goes_after_its_copy_holds_nobody_up(play, seed):
-    """Before: the last chunk was in the fleet after 2.5 s or later."""
-    fleet = play(seed, (2.5, origin_goes), (8.5, origin_returns))
+def test_origin_failure_after_one_copy_delays_no_agent(simulate, seed):
+    """Earlier: the last chunk reached the fleet after 2.5 s or later."""
+    fleet = simulate(seed, (2.5, fail_origin), (8.5, restore_origin))
     assert fleet.distinct_read_by(2.5) == fleet.shape.chunks
     assert fleet.whole_times()[-1] < 7.0
 
 
 @pytest.mark.parametrize("seed", [1])
-def test_what_frozen_readers_were_to_read_is_read_by_others(play, seed):
-    """Before: 59 or 60 of 64 chunks by the time at which the origin goes."""
-    fleet = play(
-        seed, (1.3, two_freeze), (2.5, origin_goes), (8.5, origin_returns)
+def test_chunks_of_frozen_readers_are_read_by_others(simulate, seed):
+    """Earlier: 59 or 60 of 64 chunks were read before the origin failed."""
+    fleet = simulate(
+        seed, (1.3, freeze_two), (2.5, fail_origin), (8.5, restore_origin)
     )
     assert fleet.distinct_read_by(2.5) >= 62
 
 
 @pytest.mark.parametrize("seed", [1])
-def test_narrow_links_hold_up_nobody_else(play, seed):
-    """Before: half of the agents were whole after 12 s."""
-    fleet = play(seed, (0.01, two_links_narrow))
+def test_narrow_links_do_not_delay_other_agents(simulate, seed):
+    """Earlier: half of the agents were complete after 12 s."""
+    fleet = simulate(seed, (0.01, narrow_two_links))
     times = fleet.whole_times()
-    assert half_of(times) < 7.5
+    assert middle_of(times) < 7.5
     assert times[-3] < 9.0
 
 
-def test_a_narrow_link_carries_what_it_can(play):
-    """Before: one chunk in eight seconds over such a link, in a whole day.
+def test_narrow_link_is_used_at_its_full_rate(simulate):
+    """Earlier: one chunk in eight seconds over such a link, in a whole-day run.
 
-    The link is narrow for 7 s, which is 25 chunks, and then as wide as before.
+    The link is narrow for 7 s, the time of 25 chunks, and then restored.
     """
 
     def widen(fleet):
         fleet.set_rate(address(1, 3), 3.8)
 
-    def holders(fleet):
+    def give_chunks(fleet):
         fleet.set_rate(address(1, 3), 0.95)
         for agent in list(fleet.agents_by_address.values())[:8]:
             agent.holds_from_the_start()
 
-    fleet = play(1, (7.0, widen), before=holders)
+    fleet = simulate(1, (7.0, widen), prepare=give_chunks)
     assert fleet.whole_times()[-1] < 11.5
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_an_origin_that_returns_is_read_at_its_whole_rate(play, seed):
-    """Once the origin is back, what is missing takes as long as its link.
-
-    The origin goes with half of a version read. Everybody then misses the same
-    chunks. Before: as soon as it was back, each agent read the first eight of
-    them, so that none came within the patience of any, and what had come was
-    lost; for seconds no chunk came, and the fleet was whole after 22 s, 14 s
-    after the return.
+def test_an_origin_that_returns_is_read_at_its_whole_rate(simulate, seed):
+    """The missing chunks take as long as the recovered origin's link needs.
+
+    The origin fails when half of a version has been read, so all agents miss
+    the same chunks. Earlier, each agent read the first eight of them as soon as
+    the origin was back. None arrived before the time-out of its reader, and the
+    partial data was lost. For seconds no chunk arrived, and the fleet was
+    complete after 22 s, 14 s after the recovery.
     """
-    back_at = 8.5
-    fleet = play(
-        seed, (2.5, origin_goes), (back_at, origin_returns), shape=SLOW_ORIGIN
+    restored_at = 8.5
+    fleet = simulate(
+        seed,
+        (2.5, fail_origin),
+        (restored_at, restore_origin),
+        shape=SLOW_ORIGIN,
     )
     # Half a version is 2.2 s of the origin's link.
-    assert half_of(fleet.whole_times()) < back_at + 3.5
+    assert middle_of(fleet.whole_times()) < restored_at + 3.5
     assert len(fleet.read_outside) < 1.35 * fleet.shape.chunks
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_slow_origin_gives_its_first_chunks_at_once(play, seed):
-    """Agents' links fill from the start, whatever the number of agents.
+def test_a_slow_origin_gives_its_first_chunks_at_once(simulate, seed):
+    """Agents' links are used from the start, for any number of agents.
 
-    Before: all agents read at once, so that all first chunks came after a
-    second or more, and links stayed empty meanwhile.
+    Earlier, all agents read at once, so that all first chunks arrived after a
+    second or more, and the links stayed idle meanwhile.
     """
-    fleet = play(seed, shape=SLOW_ORIGIN)
+    fleet = simulate(seed, shape=SLOW_ORIGIN)
     first_at = min(at for at, _ in fleet.read_outside)
     assert first_at < 0.5
-    # A quarter above what an agent's link takes, and hearing of the version.
-    assert half_of(fleet.whole_times()) < 1.25 * 5.2 + 0.3
+    # A quarter more than the time of an agent's link, plus 0.3 s for the
+    # announcement of the version.
+    assert middle_of(fleet.whole_times()) < 1.25 * 5.2 + 0.3
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_few_agents_do_not_all_read_what_an_origin_that_returns_owes(
-    play, seed
+def test_few_agents_do_not_all_read_the_missing_chunks_of_a_recovered_origin(
+    simulate, seed
 ):
-    """Before: half were whole 17 s after the return, with 1.3 copies read."""
-    back_at = 8.5
-    fleet = play(
-        seed, (2.2, origin_goes), (back_at, origin_returns), shape=FEW_AGENTS
+    """Earlier: half were complete 17 s after the recovery; 1.3 copies read."""
+    restored_at = 8.5
+    fleet = simulate(
+        seed,
+        (2.2, fail_origin),
+        (restored_at, restore_origin),
+        shape=FEW_AGENTS,
     )
-    # What is missing is less than half a version.
-    assert half_of(fleet.whole_times()) < back_at + 3.5
+    # Less than half a version is missing.
+    assert middle_of(fleet.whole_times()) < restored_at + 3.5
     assert len(fleet.read_outside) < 1.15 * fleet.shape.chunks
--- a/damaskcroft/agent/tests/test_chunks.py
+++ b/damaskcroft/agent/tests/test_chunks.py
@@ -1,4 +1,4 @@
-"""Chunks from agent to agent over real connections."""
+"""Chunk transfers between agents over real connections."""
 
 import asyncio
 import contextlib
@@ -33,8 +33,8 @@
 
 
 @contextlib.asynccontextmanager
-async def giving(uploads=2):
-    """An agent that gives chunks, and a source that asks it."""
+async def serving_agent(uploads=2):
+    """Serves chunks of one agent; yields what a requesting agent needs."""
     chunks = [bytes([number]) * CHUNK_BYTES for number in range(CHUNKS)]
     store = MemoryStore(10**9)
     version = store.open_version(make_manifest(chunks), set())
@@ -46,7 +46,7 @@
         channels.close()
 
 
-def ask(version, index, wait_ms=0):
+def chunk_request(version, index, wait_ms=0):
     return agent_pb2.ChunkRequest(
         manifest=version.digest,
         digest=version.manifest.chunks[index].digest,
@@ -54,14 +54,14 @@
     )
 
 
-def test_many_chunks_come_whole_at_once():
+def test_parallel_chunk_transfers_are_complete():
     async def scenario():
-        async with giving() as (version, chunks, address, source):
+        async with serving_agent() as (version, chunks, address, source):
             for index, data in enumerate(chunks):
                 version.write_chunk(index, data)
             outcomes = await asyncio.gather(
                 *(
-                    source.fetch_chunk(address, ask(version, index))
+                    source.fetch_chunk(address, chunk_request(version, index))
                     for index in range(CHUNKS)
                 )
             )
@@ -70,14 +70,17 @@
     asyncio.run(asyncio.wait_for(scenario(), 30))
 
 
-def test_a_chunk_that_is_not_held_yet_is_waited_for():
+def test_request_waits_for_a_chunk_that_arrives_later():
     async def scenario():
-        async with giving() as (version, chunks, address, source):
+        async with serving_agent() as (version, chunks, address, source):
             assert isinstance(
-                await source.fetch_chunk(address, ask(version, 3)), PeerNotYet
+                await source.fetch_chunk(address, chunk_request(version, 3)),
+                PeerNotYet,
             )
             asking = asyncio.create_task(
-                source.fetch_chunk(address, ask(version, 3, wait_ms=5000))
+                source.fetch_chunk(
+                    address, chunk_request(version, 3, wait_ms=5000)
+                )
             )
             await asyncio.sleep(0.05)
             version.write_chunk(3, chunks[3])
@@ -86,9 +89,9 @@
     asyncio.run(asyncio.wait_for(scenario(), 30))
 
 
-def test_a_manifest_is_found_by_its_version():
+def test_manifest_is_found_by_its_version_path():
     async def scenario():
-        async with giving() as (version, _, address, source):
+        async with serving_agent() as (version, _, address, source):
             manifest = version.manifest
             path = f"{manifest.model}/{manifest.version}"
             outcome = await source.fetch_manifest(address, "", path)
@@ -99,45 +102,47 @@
     asyncio.run(asyncio.wait_for(scenario(), 30))
 
 
-def test_an_agent_that_is_away_is_told_from_one_without_the_chunk():
+def test_unreachable_agent_is_distinguished_from_one_without_the_chunk():
     async def scenario():
-        async with giving() as (version, _, _, source):
-            outcome = await source.fetch_chunk(free_address(), ask(version, 0))
+        async with serving_agent() as (version, _, _, source):
+            outcome = await source.fetch_chunk(
+                free_address(), chunk_request(version, 0)
+            )
             assert isinstance(outcome, PeerFailed)
 
     asyncio.run(asyncio.wait_for(scenario(), 30))
 
 
-def test_an_agent_that_answers_no_connection_is_given_up():
-    """Its listening queue is full, as with a machine that is gone."""
+def test_agent_with_a_full_listen_backlog_times_out():
+    """Its listen backlog is full, as on an unreachable machine."""
 
     async def scenario():
-        with socket.socket() as deaf:
-            deaf.bind(("127.0.0.1", 0))
-            deaf.listen(0)
-            host, port = deaf.getsockname()
-            fillers = []
+        with socket.socket() as unresponsive:
+            unresponsive.bind(("127.0.0.1", 0))
+            unresponsive.listen(0)
+            host, port = unresponsive.getsockname()
+            backlog = []
             for _ in range(4):
-                filler = socket.socket()
-                filler.setblocking(False)
-                filler.connect_ex((host, port))
-                fillers.append(filler)
-            async with giving() as (version, _, _, _):
+                pending = socket.socket()
+                pending.setblocking(False)
+                pending.connect_ex((host, port))
+                backlog.append(pending)
+            async with serving_agent() as (version, _, _, _):
                 channels = ChannelPool(KEYS)
                 source = GrpcPeerSource(channels, 0.3)
                 outcome = await source.fetch_chunk(
-                    f"{host}:{port}", ask(version, 0)
+                    f"{host}:{port}", chunk_request(version, 0)
                 )
                 assert outcome == PeerFailed("stalled")
                 channels.close()
-            for filler in fillers:
-                filler.close()
+            for pending in backlog:
+                pending.close()
 
     asyncio.run(asyncio.wait_for(scenario(), 30))
 
 
 class SilentReceiver:
-    """Asks for a chunk, then stands still."""
+    """Requests a chunk, then never asks for a part."""
 
     async def send_message(self, message): ...
 
@@ -145,15 +150,15 @@
         await asyncio.Event().wait()
 
 
-def test_a_receiver_that_stands_still_is_left_with_one_line(loop, caplog):
-    """Before: a traceback for each chunk that was on its way to it."""
+def test_silent_receiver_is_dropped_with_one_log_line(loop, caplog):
+    """Guards against a logged traceback for each chunk in transfer to it."""
     caplog.set_level(logging.INFO)
     store = MemoryStore(10**6)
     chunk = b"x" * CHUNK_BYTES
     version = store.open_version(make_manifest([chunk]), set())
     version.write_chunk(0, chunk)
     server = ChunkServer(store, Pacer(1e9), 1, BurstCounts())
-    request = ask(version, 0)
+    request = chunk_request(version, 0)
     request.requester = "agent-1"
 
     async def scenario():
--- a/damaskcroft/agent/tests/test_fleet_agent.py
+++ b/damaskcroft/agent/tests/test_fleet_agent.py
@@ -1,4 +1,4 @@
-"""What an agent tells the fleet of itself."""
+"""Announcements of an agent's state to the fleet."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
     target_service = "s"
 
 
-def test_a_restarted_agent_goes_above_its_earlier_incarnation():
+def test_restarted_agent_supersedes_its_earlier_incarnation():
     """The time of day was set back by an hour between the two starts."""
 
     async def scenario():
@@ -27,10 +27,10 @@
             address="a:1", incarnation="earlier", sequence=7,
             started=own.state.started + 3_600_000,
         )  # fmt: skip
-        await own.tell(fleet_pb2.AGENT_SERVING, [], None)
+        await own.announce(fleet_pb2.AGENT_SERVING, [], None)
         view.take([], [earlier])
         assert view.agents_by_address["a:1"].incarnation == "earlier"
-        await own.tell(fleet_pb2.AGENT_SERVING, [], None)
+        await own.announce(fleet_pb2.AGENT_SERVING, [], None)
         held = view.agents_by_address["a:1"]
         assert held.incarnation == own.state.incarnation
         view.take([], [earlier])
@@ -39,16 +39,16 @@
     asyncio.run(scenario())
 
 
-def test_the_delay_of_the_link_is_told_in_steps():
+def test_link_delay_is_announced_in_steps():
     async def scenario():
         view = FleetView()
-        took = [0.03]
-        own = FleetAgent(Settings, view, None, lambda: took[0])
-        told = []
-        for took[0] in (0.03, 0.06, 0.3, 0.4, 1.7, 0.02):
-            await own.tell(fleet_pb2.AGENT_SERVING, [], None)
-            told.append((own.state.link_delay_ms, own.state.sequence))
-        assert told == [
+        delay_s = [0.03]
+        own = FleetAgent(Settings, view, None, lambda: delay_s[0])
+        announced = []
+        for delay_s[0] in (0.03, 0.06, 0.3, 0.4, 1.7, 0.02):
+            await own.announce(fleet_pb2.AGENT_SERVING, [], None)
+            announced.append((own.state.link_delay_ms, own.state.sequence))
+        assert announced == [
             (0, 1), (0, 1), (250, 2), (250, 2), (1000, 3), (0, 4),
         ]  # fmt: skip
 
@@ -56,13 +56,13 @@
 
 
 class Control(fleet_grpc.FleetBase):
-    """A control node that takes down what it is told."""
+    """A control node that records the announcements it receives."""
 
     def __init__(self):
-        self.told = []
+        self.announced = []
 
     async def Relay(self, stream):  # noqa: N802
-        self.told.extend((await stream.recv_message()).agents)
+        self.announced.extend((await stream.recv_message()).agents)
         await stream.send_message(fleet_pb2.RelayReply())
 
     async def Watch(self, stream): ...  # noqa: N802
@@ -71,10 +71,10 @@
     async def ReadIndex(self, stream): ...  # noqa: N802
 
 
-def test_control_that_is_heard_of_later_is_told_once():
-    """All machines start at one moment; the target answers before control.
+def test_control_node_discovered_later_gets_the_state_once():
+    """All machines start at once, and the target answers before control does.
 
-    The stream of updates is open already, and said nothing of the target.
+    The update stream was opened before the agent had a state to announce.
     """
 
     async def scenario():
@@ -82,55 +82,55 @@
         channels = ChannelPool(Keys(None, None))
         own = FleetAgent(Settings, view, channels)
         async with grpc_served(address, [control], Keys(None, None)):
-            await own.tell(fleet_pb2.AGENT_SERVING, [], None)
-            assert control.told == []
+            await own.announce(fleet_pb2.AGENT_SERVING, [], None)
+            assert control.announced == []
             view.apply_update(
                 fleet_pb2.FleetUpdate(control_addresses=[address])
             )
             for _ in range(3):
-                await own.tell(fleet_pb2.AGENT_SERVING, [], None)
-            assert control.told == [own.state]
-            await own.tell(fleet_pb2.AGENT_SWITCHING, [], None)
-            assert [state.sequence for state in control.told] == [1, 2]
+                await own.announce(fleet_pb2.AGENT_SERVING, [], None)
+            assert control.announced == [own.state]
+            await own.announce(fleet_pb2.AGENT_SWITCHING, [], None)
+            assert [state.sequence for state in control.announced] == [1, 2]
         channels.close()
 
     asyncio.run(scenario())
 
 
-def test_a_guard_is_told_again_while_the_target_holds_old_weights(loop):
-    """Others hold it for a short time, as its agent may end without a word."""
+def test_guard_is_renewed_while_the_target_holds_old_weights(loop):
+    """A guard expires at others, because its agent may stop unannounced."""
     old = fleet_pb2.HeldLayers(model="m", version=1, end_layer=4)
     new = fleet_pb2.HeldLayers(model="m", version=2, end_layer=4)
     goal = fleet_pb2.WeightGoal(model="m", version=2)
 
     async def scenario():
-        view, heard_by = FleetView(), FleetView()
+        view, observer = FleetView(), FleetView()
         own = FleetAgent(Settings, view, None, guarded_goals=lambda: [goal])
 
-        async def told_for(seconds, held):
+        async def announce_for(seconds, held):
             for _ in range(int(seconds / 0.2)):
-                await own.tell(fleet_pb2.AGENT_SERVING, [held], None)
-                heard_by.take([], [own.state])
+                await own.announce(fleet_pb2.AGENT_SERVING, [held], None)
+                observer.take([], [own.state])
                 await asyncio.sleep(0.2)
 
-        await told_for(5, old)
+        await announce_for(5, old)
         assert 5 <= own.state.sequence <= 6
-        assert heard_by.guarded_version("a:1", "m") == 2
-        assert heard_by.guarded_version("a:1", "other") == 0
-        await told_for(5, new)
+        assert observer.guarded_version("a:1", "m") == 2
+        assert observer.guarded_version("a:1", "other") == 0
+        await announce_for(5, new)
         assert own.state.sequence <= 7
-        assert heard_by.guarded_version("a:1", "m") == 0
+        assert observer.guarded_version("a:1", "m") == 0
 
     loop.run(scenario())
 
 
-def test_a_control_node_that_is_away_holds_up_no_word(loop):
-    """Orders wait for the word; the others tell it to everybody."""
+def test_unreachable_control_node_does_not_delay_announcements(loop):
+    """Orders wait for the announcement; any control node relays it to all."""
 
-    class Told(FleetAgent):
+    class RecordingAgent(FleetAgent):
         reached = ()
 
-        async def _tell(self, address):
+        async def _announce_to(self, address):
             if address == "here":
                 self.reached += (address,)
                 return True
@@ -139,14 +139,14 @@
 
     async def scenario():
         view = FleetView()
-        own = Told(Settings, view, None)
+        own = RecordingAgent(Settings, view, None)
         view.control_addresses = ("away", "here", "gone")
         began_at = loop.time()
-        await own.tell(fleet_pb2.AGENT_SERVING, [], None)
+        await own.announce(fleet_pb2.AGENT_SERVING, [], None)
         assert loop.time() - began_at < 0.1
         assert own.reached == ("here",)
         view.control_addresses = ("away", "gone")
-        await own.tell(fleet_pb2.AGENT_SWITCHING, [], None)
+        await own.announce(fleet_pb2.AGENT_SWITCHING, [], None)
         assert 0.5 <= loop.time() - began_at < 0.6
 
     loop.run(scenario())
--- a/damaskcroft/agent/tests/test_fleet_stager.py
+++ b/damaskcroft/agent/tests/test_fleet_stager.py
@@ -1,4 +1,4 @@
-"""Getting a version beside a target: from it, from others, from outside."""
+"""Staging beside a target, from its own pieces, from peers and the origin."""
 
 import asyncio
 import hashlib
@@ -8,7 +8,7 @@
 
 from damaskcroft._generated import fleet_pb2, records_pb2
 from damaskcroft.agent._fleet_stager import FleetStager
-from damaskcroft.agent._version_choice import Wanted
+from damaskcroft.agent._version_choice import ModelVersion
 from damaskcroft.engines import EngineReport, EngineUnreachable
 from damaskcroft.fleet import FleetView
 from damaskcroft.tasks import cancelled
@@ -50,7 +50,7 @@
             return OutsideFailed("cut", 0.0)
         return OutsideData(content)
 
-    async def fetch_chunk(self, path, wanted, index):
+    async def fetch_chunk(self, path, expected, index):
         await asyncio.sleep(0.01)
         self.reads += 1
         return OutsideData(CHUNKS[index])
@@ -90,7 +90,7 @@
 
 
 @pytest.fixture
-def made(loop):
+def parts(loop):
     view = FleetView()
     engine = fleet_pb2.EngineProfile(
         models=[fleet_pb2.EngineModel(name="m")], layers=4
@@ -120,7 +120,7 @@
     loop.run(scenario())
 
 
-def name(loop, view, version=2):
+def announce_version(loop, view, version=2):
     async def take():
         goal = fleet_pb2.WeightGoal(model="m", version=version, age_ms=0)
         view.apply_update(fleet_pb2.FleetUpdate(goals=[goal]))
@@ -128,29 +128,31 @@
     loop.run(take())
 
 
-def test_a_named_version_lies_whole_beside_the_target(loop, made):
-    view, origin, target, stager = made
-    name(loop, view)
+def test_announced_version_is_staged_in_full(loop, parts):
+    view, origin, target, stager = parts
+    announce_version(loop, view)
     run_for(loop, stager, 5)
-    assert stager.staged == Wanted("m", 2)
+    assert stager.staged == ModelVersion("m", 2)
     assert [target.pieces[index] for index in range(8)] == CHUNKS
     assert origin.reads == len(CHUNKS)
 
 
-def test_without_a_goal_a_target_gets_what_the_others_serve(loop, made):
-    view, _, _, stager = made
+def test_without_a_desired_version_the_one_of_other_targets_is_staged(
+    loop, parts
+):
+    view, _, _, stager = parts
     held = fleet_pb2.HeldLayers(model="m", version=2, end_layer=4)
     other = fleet_pb2.TargetState(
         id="t", service="s", address="y:1", sequence=1, held=[held]
     )
     view.take([other])
-    assert stager.wanted() == Wanted("m", 2)
+    assert stager.version_to_stage() == ModelVersion("m", 2)
 
 
-def test_a_record_goes_before_what_others_serve_and_a_goal_before_it(
-    loop, made
+def test_desired_version_precedes_record_and_record_precedes_other_targets(
+    loop, parts
 ):
-    view, _, _, stager = made
+    view, _, _, stager = parts
     held = fleet_pb2.HeldLayers(model="m", version=5, end_layer=4)
     other = fleet_pb2.TargetState(
         id="t", service="s", address="y:1", sequence=1, held=[held]
@@ -162,54 +164,54 @@
         view.apply_update(fleet_pb2.FleetUpdate(served=[served]))
 
     loop.run(take())
-    assert stager.wanted() == Wanted("m", 2)
-    name(loop, view, version=3)
-    assert stager.wanted() == Wanted("m", 3)
+    assert stager.version_to_stage() == ModelVersion("m", 2)
+    announce_version(loop, view, version=3)
+    assert stager.version_to_stage() == ModelVersion("m", 3)
 
 
-def test_what_lies_at_the_target_is_not_fetched_again(loop, made):
-    view, origin, target, stager = made
+def test_pieces_at_the_target_are_not_fetched_again(loop, parts):
+    view, origin, target, stager = parts
     target.pieces = dict(enumerate(CHUNKS))
     target.pieces[3] = b"spoilt"
-    name(loop, view)
+    announce_version(loop, view)
     run_for(loop, stager, 5)
-    assert stager.staged == Wanted("m", 2)
+    assert stager.staged == ModelVersion("m", 2)
     assert origin.reads == 1
     assert target.pieces[3] == CHUNKS[3]
 
 
-def test_an_agent_that_restarts_midway_finds_what_it_had_put(loop, made):
-    """Old pieces lie between new ones, in whatever order these came."""
-    view, origin, target, stager = made
+def test_agent_restarted_during_staging_recovers_its_pieces(loop, parts):
+    """Pieces of the old version remain between new ones, in any order."""
+    view, origin, target, stager = parts
     target.pieces = {
         index: data if index % 2 else b"of version 1"
         for index, data in enumerate(CHUNKS)
     }
-    name(loop, view)
+    announce_version(loop, view)
     run_for(loop, stager, 5)
-    assert stager.staged == Wanted("m", 2)
+    assert stager.staged == ModelVersion("m", 2)
     assert origin.reads == len(CHUNKS) / 2
     assert [target.pieces[index] for index in range(8)] == CHUNKS
 
 
-def test_chunks_are_put_as_they_come_not_in_their_order(loop, made):
-    view, origin, target, stager = made
+def test_chunks_are_put_in_order_of_arrival(loop, parts):
+    view, origin, target, stager = parts
     fetch = origin.fetch_chunk
 
-    async def first_comes_last(path, wanted, index):
+    async def fetch_first_chunk_last(path, expected, index):
         if index == 0:
             await asyncio.sleep(2)
-        return await fetch(path, wanted, index)
+        return await fetch(path, expected, index)
 
-    origin.fetch_chunk = first_comes_last
+    origin.fetch_chunk = fetch_first_chunk_last
     stager._options = BurstOptions(in_step=False, parallel_outside=2)
-    name(loop, view)
+    announce_version(loop, view)
     run_for(loop, stager, 1)
     assert sorted(target.pieces) == list(range(1, 8))
 
 
-def test_a_known_target_that_is_not_up_yet_is_waited_for(loop, made):
-    view, origin, target, stager = made
+def test_known_target_that_is_not_up_is_waited_for(loop, parts):
+    view, origin, target, stager = parts
     stager._own.state.target_address = "t:1"
     known = fleet_pb2.TargetState(
         id="t", service="s", address="t:1", sequence=1
@@ -217,18 +219,18 @@
     view.take([known])
     target.pieces = dict(enumerate(CHUNKS))
     target.reachable = False
-    name(loop, view)
+    announce_version(loop, view)
     run_for(loop, stager, 3)
     assert origin.reads == 0
     target.reachable = True
     run_for(loop, stager, 3)
-    assert stager.staged == Wanted("m", 2)
+    assert stager.staged == ModelVersion("m", 2)
     assert origin.reads == 0
 
 
-def test_a_piece_that_turned_bad_is_put_again_before_the_order(loop, made):
-    view, _, target, stager = made
-    name(loop, view)
+def test_corrupt_and_lost_pieces_are_put_again_before_the_order(loop, parts):
+    view, _, target, stager = parts
+    announce_version(loop, view)
     run_for(loop, stager, 5)
     del target.pieces[1]
     target.pieces[6] = b"rotten"
@@ -240,37 +242,37 @@
     assert [target.pieces[index] for index in range(8)] == CHUNKS
 
 
-def test_a_spoilt_manifest_is_outvoted(loop, made):
-    view, origin, _, stager = made
-    spoilt = manifest([b"x" * 50, *CHUNKS[1:]])
-    origin.manifests = [spoilt, manifest(CHUNKS)]
-    name(loop, view)
+def test_corrupt_manifest_is_rejected_by_other_readings(loop, parts):
+    view, origin, _, stager = parts
+    corrupt = manifest([b"x" * 50, *CHUNKS[1:]])
+    origin.manifests = [corrupt, manifest(CHUNKS)]
+    announce_version(loop, view)
     run_for(loop, stager, 20)
-    assert stager.staged == Wanted("m", 2)
+    assert stager.staged == ModelVersion("m", 2)
     assert stager.staged_version.content == manifest(CHUNKS)
 
 
-def test_an_origin_that_is_cut_off_is_asked_again(loop, made):
-    view, origin, _, stager = made
+def test_unreachable_origin_is_retried(loop, parts):
+    view, origin, _, stager = parts
     origin.manifests = [None, None, manifest(CHUNKS)]
-    name(loop, view)
+    announce_version(loop, view)
     run_for(loop, stager, 5)
-    assert stager.staged == Wanted("m", 2)
+    assert stager.staged == ModelVersion("m", 2)
 
 
-def test_nothing_counts_as_staged_while_another_version_comes(loop, made):
-    view, origin, target, stager = made
-    name(loop, view)
+def test_nothing_counts_as_staged_while_another_version_is_put(loop, parts):
+    view, origin, target, stager = parts
+    announce_version(loop, view)
     run_for(loop, stager, 5)
-    assert stager.staged == Wanted("m", 2)
+    assert stager.staged == ModelVersion("m", 2)
     seen = []
 
-    async def put_and_look(model, index, data):
+    async def put_and_record(model, index, data):
         seen.append(stager.staged)
         target.pieces[index] = data
         return True
 
-    target.put_piece = put_and_look
+    target.put_piece = put_and_record
     newer = [b"n" * 50, *CHUNKS[1:]]
     content = records_pb2.Manifest.FromString(manifest(newer))
     content.version = "3"
@@ -279,35 +281,35 @@
     async def fetch_manifest(path):
         return OutsideData(origin.manifests[0])
 
-    async def fetch_chunk(path, wanted, index):
+    async def fetch_chunk(path, expected, index):
         return OutsideData(newer[index])
 
     origin.fetch_manifest = fetch_manifest
     origin.fetch_chunk = fetch_chunk
-    name(loop, view, 3)
+    announce_version(loop, view, 3)
     run_for(loop, stager, 5)
-    assert stager.staged == Wanted("m", 3)
+    assert stager.staged == ModelVersion("m", 3)
     assert seen and set(seen) == {None}
 
 
-def test_an_agent_that_wants_nothing_shows_it(loop, made):
-    view, _, _, stager = made
+def test_gauge_shows_that_no_version_is_to_be_staged(loop, parts):
+    view, _, _, stager = parts
 
     def shown():
         return REGISTRY.get_sample_value("damask_weights_wanted")
 
     run_for(loop, stager, 1)
     assert shown() == 0
-    name(loop, view)
+    announce_version(loop, view)
     run_for(loop, stager, 1)
     assert shown() == 2
 
 
-def test_a_version_is_fetched_while_its_target_starts(loop, made):
-    """Before: a new machine's agent waited a second for its target."""
-    view, origin, target, stager = made
+def test_version_is_fetched_while_its_target_starts(loop, parts):
+    """A new machine's agent once waited a second for its target."""
+    view, origin, target, stager = parts
     target.reachable = False
-    name(loop, view)
+    announce_version(loop, view)
 
     async def scenario():
         task = asyncio.create_task(stager.run())
@@ -316,7 +318,7 @@
         assert not target.pieces
         target.reachable = True
         await asyncio.sleep(1)
-        assert stager.staged == Wanted("m", 2)
+        assert stager.staged == ModelVersion("m", 2)
         assert [target.pieces[index] for index in range(8)] == CHUNKS
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -324,8 +326,8 @@
     loop.run(scenario())
 
 
-def test_agents_whose_targets_have_left_take_no_part(loop, made):
-    view, _, _, stager = made
+def test_agents_with_departed_targets_are_left_out_of_the_plan(loop, parts):
+    view, _, _, stager = parts
     agents = [
         fleet_pb2.AgentState(
             address=f"g{n}", target_address=f"t:{n}", service="s"
@@ -333,7 +335,7 @@
         for n in range(3)
     ]
     stager._own.peers = lambda: agents
-    assert stager._living_peers() == agents
+    assert stager._live_peers() == agents
     for number in range(3):
         view.take(
             [
@@ -347,31 +349,29 @@
         id="i1", phase=fleet_pb2.TARGET_GONE, born_ms=5
     )
     view.take([gone])
-    assert stager._living_peers() == [agents[0], agents[2]]
+    assert stager._live_peers() == [agents[0], agents[2]]
 
 
-# --- Targets that start again -------------------------------------------------
+# --- Targets that restart -----------------------------------------------------
 
 
-def test_what_was_put_is_put_again_at_a_target_that_has_started_again(
-    loop, made
-):
-    """From the agent's own store: outside nothing is read for it."""
-    view, origin, target, stager = made
-    stager.note_start(1000)
-    name(loop, view)
+def test_pieces_are_put_again_at_a_restarted_target(loop, parts):
+    """The pieces come from the agent's own store, not from the origin."""
+    view, origin, target, stager = parts
+    stager.record_start(1000)
+    announce_version(loop, view)
 
     async def scenario():
         task = asyncio.create_task(stager.run())
         await asyncio.sleep(5)
-        assert stager.staged == Wanted("m", 2)
+        assert stager.staged == ModelVersion("m", 2)
         reads = origin.reads
         target.pieces.clear()
-        stager.note_start(2000)
+        stager.record_start(2000)
         assert stager.staged is None
         assert not await stager.restage()
         await asyncio.sleep(1)
-        assert stager.staged == Wanted("m", 2)
+        assert stager.staged == ModelVersion("m", 2)
         assert [target.pieces[index] for index in range(8)] == CHUNKS
         assert origin.reads == reads
         task.cancel()
@@ -380,19 +380,19 @@
     loop.run(scenario())
 
 
-def test_a_start_in_the_middle_of_a_burst_loses_no_piece(loop, made):
-    view, origin, target, stager = made
-    stager.note_start(1000)
-    name(loop, view)
+def test_target_restart_during_a_burst_loses_no_piece(loop, parts):
+    view, origin, target, stager = parts
+    stager.record_start(1000)
+    announce_version(loop, view)
 
     async def scenario():
         task = asyncio.create_task(stager.run())
         while len(target.pieces) < 4:
             await asyncio.sleep(0.005)
         target.pieces.clear()
-        stager.note_start(2000)
+        stager.record_start(2000)
         await asyncio.sleep(5)
-        assert stager.staged == Wanted("m", 2)
+        assert stager.staged == ModelVersion("m", 2)
         assert [target.pieces[index] for index in range(8)] == CHUNKS
         assert origin.reads == len(CHUNKS)
         task.cancel()
@@ -401,24 +401,24 @@
     loop.run(scenario())
 
 
-def test_the_first_word_of_a_target_is_no_restart(loop, made):
-    view, _, target, stager = made
-    name(loop, view)
+def test_first_report_of_a_target_is_no_restart(loop, parts):
+    view, _, target, stager = parts
+    announce_version(loop, view)
     run_for(loop, stager, 5)
     puts = target.puts
-    stager.note_start(1000)
-    assert stager.staged == Wanted("m", 2)
+    stager.record_start(1000)
+    assert stager.staged == ModelVersion("m", 2)
     assert target.puts == puts
 
 
 MODEL = "m"
 WEIGHTS_S = 10.0
-# A version of eight chunks of 50 bytes takes a link of 100 bytes a second 4 s.
+# A version of eight chunks of 50 bytes takes 4 s over a link of 100 bytes/s.
 LINK_MBPS = 0.0008
 
 
 class TwoVersions(FakeOrigin):
-    """Gives each version its own chunks, some of them only in the end."""
+    """Serves different chunks for each version, the last ones only later."""
 
     def __init__(self):
         super().__init__()
@@ -438,7 +438,7 @@
         made = manifest_of_digests("m", path[-1], 50, digests)
         return OutsideData(made.SerializeToString(deterministic=True))
 
-    async def fetch_chunk(self, path, wanted, index):
+    async def fetch_chunk(self, path, expected, index):
         await asyncio.sleep(1.2 if path == "m/3" else 0.01)
         if self.is_away or index >= self.given:
             return OutsideFailed("away", 0.0)
@@ -447,7 +447,7 @@
 
 
 def with_two_versions(origin):
-    """An agent whose target serves version 1, and what is around it."""
+    """Makes an agent whose target serves version 1, and its surroundings."""
     view = FleetView()
     engine = fleet_pb2.EngineProfile(
         models=[fleet_pb2.EngineModel(name=MODEL)], layers=4
@@ -469,48 +469,48 @@
     return view, target, own, stager
 
 
-def test_the_newest_is_wanted_where_none_has_begun(loop):
+def test_newest_version_is_chosen_if_no_older_one_is_partly_fetched(loop):
     view, _, _, stager = with_two_versions(TwoVersions())
 
     async def scenario():
         for version in (2, 3):
             goal = fleet_pb2.WeightGoal(model=MODEL, version=version, age_ms=0)
             view.apply_update(fleet_pb2.FleetUpdate(goals=[goal]))
-        assert stager.wanted() == Wanted(MODEL, 3)
+        assert stager.version_to_stage() == ModelVersion(MODEL, 3)
 
     loop.run(scenario())
 
 
-def test_an_older_version_is_finished_where_the_newest_comes_too_late(loop):
-    """Before: it was left with its last chunks missing, and nobody served."""
+def test_older_version_is_completed_if_the_newest_would_be_late(loop):
+    """Dropping it just before completion once left no target in service."""
     view, target, own, stager = with_two_versions(origin := TwoVersions())
 
-    def named(version):
+    def announce(version):
         goal = fleet_pb2.WeightGoal(model=MODEL, version=version, age_ms=0)
         view.apply_update(fleet_pb2.FleetUpdate(goals=[goal]))
 
     async def scenario():
-        named(2)
+        announce(2)
         task = asyncio.create_task(stager.run())
         await asyncio.sleep(8)
         assert len(target.pieces) == 6
         origin.is_away = True
-        named(3)
+        announce(3)
         await asyncio.sleep(1)
         origin.is_away = False
         origin.given = 8
         await asyncio.sleep(1)
-        assert stager.staged == Wanted(MODEL, 2)
+        assert stager.staged == ModelVersion(MODEL, 2)
         assert set(target.pieces.values()) == set(origin.chunks_by_path["m/2"])
-        # The newest comes meanwhile, and is put once the older one serves.
+        # The newest is prefetched meanwhile, and put once the older one serves.
         assert origin.reads == 8
         await asyncio.sleep(1.5)
-        assert stager.staged == Wanted(MODEL, 2)
+        assert stager.staged == ModelVersion(MODEL, 2)
         assert origin.reads > 8
         del own.state.held[:]
         own.state.held.add(model=MODEL, version=2, end_layer=4)
         await asyncio.sleep(8)
-        assert stager.staged == Wanted(MODEL, 3)
+        assert stager.staged == ModelVersion(MODEL, 3)
         assert set(target.pieces.values()) == set(origin.chunks_by_path["m/3"])
         await cancelled(task)
 
--- a/damaskcroft/agent/tests/test_fleet_switcher.py
+++ b/damaskcroft/agent/tests/test_fleet_switcher.py
@@ -1,4 +1,4 @@
-"""Whose turn it is to change versions, and what is ordered."""
+"""Order of targets in a rolling update, and the orders sent to a target."""
 
 import asyncio
 
@@ -6,13 +6,13 @@
 
 from damaskcroft._generated import fleet_pb2
 from damaskcroft.agent._fleet_switcher import FleetSwitcher
-from damaskcroft.agent._version_choice import Wanted
+from damaskcroft.agent._version_choice import ModelVersion
 from damaskcroft.agent._weights_guard import guarded_goals
 from damaskcroft.engines import EngineReport, OrderAccepted
 from damaskcroft.fleet import FleetView
 from damaskcroft.tasks import cancelled
 
-STAGED = Wanted("m", 2)
+STAGED = ModelVersion("m", 2)
 WEIGHTS_S = 8.0
 OLD = fleet_pb2.HeldLayers(model="m", version=1, end_layer=4)
 NEW = fleet_pb2.HeldLayers(model="m", version=2, end_layer=4)
@@ -22,7 +22,7 @@
     def __init__(self, view, address):
         self.view = view
         self.state = fleet_pb2.AgentState(address=address, service="s")
-        self.told = []
+        self.announced = []
 
     def peers(self):
         return [
@@ -31,8 +31,8 @@
             if agent.address != self.state.address
         ]
 
-    async def tell(self, phase, held, staged, target_born_ms=0):
-        self.told.append(phase)
+    async def announce(self, phase, held, staged, target_born_ms=0):
+        self.announced.append(phase)
 
 
 class FakeEngine:
@@ -40,7 +40,7 @@
         self.held = held
         self.orders = []
         self.cut = None
-        self.gave_up_at = None
+        self.dropped_at = None
 
     async def report(self):
         return EngineReport(self.held, False, len(self.orders), 3)
@@ -57,30 +57,30 @@
         assert part.version == self.held[0].version
         assert part.end_layer - part.first_layer < OLD.end_layer
         self.orders.append("keep_only")
-        self.gave_up_at = asyncio.get_running_loop().time()
+        self.dropped_at = asyncio.get_running_loop().time()
         self.held = (part,)
         return OrderAccepted()
 
 
 class FakeStager:
-    whole = True
+    restages = True
 
     def __init__(self):
         self.staged = STAGED
         self.pieces_lock = asyncio.Lock()
         self.born_ms = 0
 
-    def note_start(self, born_ms):
-        """What is staged is no longer known to be, after a restart."""
+    def record_start(self, born_ms):
+        """Clears the staged version after a restart of the target."""
         if born_ms != self.born_ms:
             self.staged = None
         self.born_ms = born_ms
 
-    def wanted(self):
+    def version_to_stage(self):
         return STAGED
 
     async def restage(self):
-        return self.whole
+        return self.restages
 
 
 def agent(address, phase=fleet_pb2.AGENT_SERVING, held=OLD, staged=NEW):
@@ -122,7 +122,7 @@
 
 
 class RestartingEngine(FakeEngine):
-    """Starts again, empty, between a look at its pieces and the order."""
+    """Restarts without pieces between their check and the order."""
 
     def __init__(self, *held):
         super().__init__(*held)
@@ -135,20 +135,20 @@
         return EngineReport(held, False, 0, 0, 2000 if restarted else 0)
 
 
-def test_nothing_is_ordered_of_a_target_that_has_just_started_again(loop, view):
-    """Its count of orders is the same, and pieces may have been lost."""
+def test_no_order_is_sent_to_a_target_that_has_just_restarted(loop, view):
+    """Its order sequence is unchanged, but pieces may have been lost."""
     engine = RestartingEngine()
     run_for(loop, view, engine, 1.0)
     assert engine.reports > 2
     assert engine.orders == []
 
 
-def test_an_agent_tells_which_start_of_its_target_it_speaks_of(loop, view):
-    class Tells(FakeOwn):
-        async def tell(self, phase, held, staged, target_born_ms=0):
-            self.told.append(target_born_ms)
+def test_agent_announces_the_start_of_its_target(loop, view):
+    class RecordingOwn(FakeOwn):
+        async def announce(self, phase, held, staged, target_born_ms=0):
+            self.announced.append(target_born_ms)
 
-    own = Tells(view, "b")
+    own = RecordingOwn(view, "b")
     engine = RestartingEngine(NEW)
     switcher = FleetSwitcher(own, view, engine, FakeStager(), WEIGHTS_S)
 
@@ -158,30 +158,30 @@
         await cancelled(task)
 
     loop.run(scenario())
-    assert own.told[0] == 0
-    assert own.told[-1] == 2000
+    assert own.announced[0] == 0
+    assert own.announced[-1] == 2000
 
 
 class CountingEngine(FakeEngine):
-    """Notes when it was looked at."""
+    """Records the times at which it was polled."""
 
     def __init__(self, *held):
         super().__init__(*held)
-        self.looked_at = []
+        self.polled_at = []
 
     async def report(self):
-        self.looked_at.append(asyncio.get_running_loop().time())
+        self.polled_at.append(asyncio.get_running_loop().time())
         return await super().report()
 
 
-def test_a_target_that_serves_what_is_wanted_is_looked_at_seldom(loop, view):
+def test_settled_target_is_polled_rarely(loop, view):
     engine = CountingEngine(NEW)
     run_for(loop, view, engine, 10.0)
-    assert len(engine.looked_at) <= 20
+    assert len(engine.polled_at) <= 20
 
 
-def test_a_target_that_has_told_something_is_looked_at_at_once(loop, view):
-    """As often as before was not needed: it tells when it starts again."""
+def test_target_update_triggers_an_immediate_poll(loop, view):
+    """A settled target is polled rarely, because it announces a restart."""
     engine = CountingEngine(NEW)
     own = FakeOwn(view, "b")
     own.state.target_address = "10.0.0.1:1"
@@ -195,23 +195,23 @@
         )
         view.take([restarted])
         await asyncio.sleep(0.005)
-        looked_s_ago = loop.time() - engine.looked_at[-1]
+        polled_s_ago = loop.time() - engine.polled_at[-1]
         await cancelled(task)
-        assert looked_s_ago <= 0.01
+        assert polled_s_ago <= 0.01
 
     loop.run(scenario())
 
 
-def test_a_target_alone_switches_at_once(loop, view):
+def test_single_target_switches_at_once(loop, view):
     engine = FakeEngine(OLD)
     own = run_for(loop, view, engine, 1.0)
     assert engine.orders == [("m", 2)]
     assert engine.cut
-    assert own.told[-1] == fleet_pb2.AGENT_SERVING
-    assert fleet_pb2.AGENT_SWITCHING in own.told
+    assert own.announced[-1] == fleet_pb2.AGENT_SERVING
+    assert fleet_pb2.AGENT_SWITCHING in own.announced
 
 
-def test_an_empty_target_does_not_wait_for_its_turn(loop, view):
+def test_empty_target_switches_without_waiting(loop, view):
     out = agent("a", fleet_pb2.AGENT_SWITCHING)
     view.take([], [out])
     engine = FakeEngine()
@@ -219,8 +219,8 @@
     assert engine.orders == [("m", 2)]
 
 
-def test_targets_take_turns_for_a_version_that_is_only_recorded(loop, view):
-    """It has no time by which it is due, so nobody goes out of turn."""
+def test_targets_wait_for_each_other_for_a_recorded_version(loop, view):
+    """Such a version has no deadline, so no target switches early."""
     view.goal_by_model.clear()
     view.goal_since_by_model.clear()
     served = fleet_pb2.ServedVersion(model="m", version=2)
@@ -235,14 +235,14 @@
     assert engine.orders == []
 
 
-def test_while_enough_are_out_others_wait(loop, view):
+def test_target_waits_while_enough_others_are_out(loop, view):
     view.take([], [agent("a", fleet_pb2.AGENT_SWITCHING)])
     engine = FakeEngine(OLD)
     run_for(loop, view, engine, 2.0)
     assert engine.orders == []
 
 
-def test_addresses_decide_between_two_that_are_ready(loop, view):
+def test_address_order_decides_between_two_ready_targets(loop, view):
     view.take([], [agent("a")])
     engine = FakeEngine(OLD)
     run_for(loop, view, engine, 2.0)
@@ -253,24 +253,24 @@
     assert first.orders == [("m", 2)]
 
 
-def test_near_the_deadline_nobody_waits_any_more(loop, view):
+def test_target_switches_without_waiting_near_the_deadline(loop, view):
     view.take([], [agent("a", fleet_pb2.AGENT_SWITCHING)])
     engine = FakeEngine(OLD)
     run_for(loop, view, engine, WEIGHTS_S - 0.5)
     assert engine.orders == [("m", 2)]
 
 
-def test_nothing_is_ordered_unless_every_piece_is_right(loop, view):
-    class Spoilt(FakeStager):
-        whole = False
+def test_no_order_is_sent_unless_every_piece_is_correct(loop, view):
+    class CorruptPieces(FakeStager):
+        restages = False
 
     engine = FakeEngine(OLD)
-    run_for(loop, view, engine, 3.0, stager=Spoilt())
+    run_for(loop, view, engine, 3.0, stager=CorruptPieces())
     assert engine.orders == []
 
 
-def test_no_order_once_pieces_of_a_newer_version_are_put(loop, view):
-    """A version is named between the agent's turn and its order."""
+def test_no_order_is_sent_once_pieces_of_a_newer_version_are_put(loop, view):
+    """A version is announced between the decision to switch and the order."""
 
     class Overtaken(FakeStager):
         async def restage(self):
@@ -282,7 +282,7 @@
     assert engine.orders == []
 
 
-def test_running_requests_are_waited_for_where_they_can_not_go_on(loop, view):
+def test_running_requests_that_can_not_be_resumed_are_waited_for(loop, view):
     services = [fleet_pb2.Service(name="s")]
     view.apply_configuration(
         fleet_pb2.Configuration(version=2, services=services)
@@ -292,24 +292,22 @@
     assert engine.cut is False
 
 
-def test_a_target_takes_nothing_on_old_weights_once_their_time_has_come(
-    loop, view
-):
-    """Whatever is still on its way to it, and whoever sent it.
+def test_old_weights_are_dropped_before_they_expire(loop, view):
+    """Guards against late requests that begin on expired weights.
 
-    Callers' requests began on a version 0.2 s after its time. An entry had
-    sent them 1.1 s before that time, over a link that an agent's chunks had
-    filled; it took them back 0.25 s before it, and the target got them all the
-    same, 1.24 s after they were sent. The entry had judged by the delays that
-    it knew, and those were of a second before: `sent` said 0.35 s. What has
-    left an entry can't be held back by it, so the target itself must refuse.
+    Callers' requests began on a version 0.2 s after it had expired. An entry
+    had sent them 1.1 s before the expiry, over a link that an agent's chunks
+    had filled. It withdrew them 0.25 s before the expiry, but the target still
+    received them, 1.24 s after they were sent. The entry had relied on delays
+    measured a second earlier: `sent` said 0.35 s. An entry can't stop what it
+    has sent, so the target itself must refuse it.
     """
     engine = FakeEngine(OLD)
     stager = FakeStager()
     stager.staged = None
     run_for(loop, view, engine, WEIGHTS_S - 0.1, stager=stager)
     assert engine.orders == ["keep_only"]
-    assert engine.gave_up_at > WEIGHTS_S - 1.0
+    assert engine.dropped_at > WEIGHTS_S - 1.0
 
 
 class NothingStaged(FakeStager):
@@ -318,9 +316,7 @@
         self.staged = None
 
 
-def test_over_a_quick_link_old_weights_serve_nearly_until_their_time(
-    loop, view
-):
+def test_quick_link_keeps_old_weights_until_just_before_expiry(loop, view):
     engine = FakeEngine(OLD)
     own = FakeOwn(view, "b")
     switcher = FleetSwitcher(
@@ -338,14 +334,14 @@
     loop.run(scenario())
 
 
-def test_weights_that_are_due_and_ready_need_no_other_order(loop, view):
+def test_staged_version_is_loaded_without_a_separate_drop(loop, view):
     engine = FakeEngine(OLD)
     view.take([], [agent("a", fleet_pb2.AGENT_SWITCHING)])
     run_for(loop, view, engine, WEIGHTS_S + 1.0)
     assert engine.orders == [("m", 2)]
 
 
-def test_after_old_weights_were_given_up_new_ones_are_loaded(loop, view):
+def test_new_weights_are_loaded_after_old_ones_were_dropped(loop, view):
     engine = FakeEngine(OLD)
     stager = NothingStaged()
     loop.call_later(WEIGHTS_S + 2.0, setattr, stager, "staged", STAGED)
@@ -353,7 +349,7 @@
     assert engine.orders == ["keep_only", ("m", 2)]
 
 
-def test_an_agent_that_ends_gives_up_what_would_come_due_meanwhile(loop, view):
+def test_stopping_agent_drops_weights_due_during_its_restart(loop, view):
     engine = FakeEngine(OLD)
     switcher = FleetSwitcher(
         FakeOwn(view, "b"), view, engine, NothingStaged(), WEIGHTS_S
@@ -369,7 +365,7 @@
     loop.run(scenario())
 
 
-def test_an_agent_guards_what_can_be_given_up_in_part(loop, view):
+def test_only_models_loaded_in_layers_are_guarded(loop, view):
     async def scenario():
         assert guarded_goals(view, "s", WEIGHTS_S) == []
         engine = fleet_pb2.EngineProfile(
--- a/damaskcroft/agent/tests/test_fuzz_orders.py
+++ b/damaskcroft/agent/tests/test_fuzz_orders.py
@@ -1,8 +1,8 @@
 """Stateful fuzzing of leases and orders.
 
-Two agent processes may stand on one slot, as after a replacement of an agent
-that was only frozen. Oracle: the target's version at each order: it never
-goes back to an assignment that is older than one it has carried out.
+Two agent processes may run for one target, as after the replacement of an agent
+that was only frozen. Oracle: the fencing numbers of the orders that the target
+carries out never decrease.
 """
 
 import asyncio
@@ -34,7 +34,7 @@
 
 
 class FakeTarget:
-    """A target of either kind: with or without a check of the number."""
+    """A target with or without a check of fencing numbers."""
 
     def __init__(self, checks):
         self.checks = checks
@@ -47,29 +47,31 @@
 
 
 class FakeOrders:
-    """An agent's orders, sent only under its lease, as engines do."""
+    """Sends an agent's orders only under its lease, as engines do."""
 
     def __init__(self, target, agent):
         self.target = target
         self.agent = agent
 
     async def state(self):
-        await self.agent.breathe()
+        await self.agent.pause_point()
         target = self.target
         failed = dict.fromkeys(target.fails, "no memory")
         return EngineState(target.active, target.loaded, failed)
 
     async def load(self, order):
         manifest = order.assignment.manifest
-        return await self.obey(
+        return await self.carry_out(
             order.assignment, lambda t: setattr(t, "loaded", (manifest,))
         )
 
     async def activate(self, order):
-        return await self.obey(order.assignment, self.serve(order.assignment))
+        return await self.carry_out(
+            order.assignment, self.serve(order.assignment)
+        )
 
     async def unload(self, assignment):
-        return await self.obey(assignment, self.serve(assignment))
+        return await self.carry_out(assignment, self.serve(assignment))
 
     def serve(self, assignment):
         def change(target):
@@ -78,8 +80,8 @@
 
         return change
 
-    async def obey(self, assignment, change):
-        await self.agent.breathe()
+    async def carry_out(self, assignment, change):
+        await self.agent.pause_point()
         if self.agent.lease.remaining_s < ORDER_S:
             return OrderFailed("the lease ends too soon")
         target = self.target
@@ -93,7 +95,7 @@
 
 
 class FakeStager:
-    wanted_manifest = ""
+    desired_manifest = ""
     staged_manifest = ""
 
 
@@ -102,7 +104,7 @@
     location = "files"
 
 
-class AnyVersion(dict):
+class EveryVersion(dict):
     def get(self, key, default=None):
         return FakeVersion()
 
@@ -111,7 +113,7 @@
 
 
 class FakeStore:
-    versions_by_digest = AnyVersion()
+    versions_by_digest = EveryVersion()
 
 
 class FakeClient:
@@ -124,7 +126,7 @@
 
 
 class Agent:
-    """The real activator, gate and lease of one process on the slot."""
+    """The real activator, gate and lease of one agent process."""
 
     def __init__(self, incarnation, target):
         self.incarnation = incarnation
@@ -143,12 +145,14 @@
         )
         self.task = asyncio.ensure_future(self.activator.run())
 
-    async def breathe(self):
-        """Where a frozen process stands still."""
+    async def pause_point(self):
+        """Yields control; a frozen process waits here until it is thawed."""
         await asyncio.sleep(0.01)
         await self.thawed.wait()
 
 
+# Hypothesis derives its examples from the source of this class, names and
+# docstrings included; an edit of either runs other examples.
 class OrdersMachine(RuleBasedStateMachine):
     @initialize(checks=st.booleans())
     def start(self, checks):
@@ -300,5 +304,5 @@
 
 
 TestFuzzOrders = OrdersMachine.TestCase
-# These examples are cheap.
+# Examples are cheap here, so more of them are run.
 TestFuzzOrders.settings = settings(max_examples=4 * settings().max_examples)
