--- a/damaskcroft/agent/tests/test_guard_in_time.py
+++ b/damaskcroft/agent/tests/test_guard_in_time.py
@@ -1,4 +1,4 @@
-"""Whether old weights are given up in time while much else is to be done."""
+"""Old weights are dropped in time while the agent does other work."""
 
 import asyncio
 import types
@@ -6,9 +6,9 @@
 import pytest
 
 from damaskcroft._generated import fleet_pb2
-from damaskcroft.agent._fleet_agent import _TELL_TIMEOUT_S, FleetAgent
+from damaskcroft.agent._fleet_agent import _ANNOUNCE_TIMEOUT_S, FleetAgent
 from damaskcroft.agent._fleet_switcher import FleetSwitcher
-from damaskcroft.agent._version_choice import Wanted
+from damaskcroft.agent._version_choice import ModelVersion
 from damaskcroft.agent.tests.test_fleet_switcher import (
     OLD,
     WEIGHTS_S,
@@ -37,28 +37,28 @@
     return view
 
 
-def name(view, version, model="m", **age):
+def announce_version(view, version, model="m", **age):
     goal = fleet_pb2.WeightGoal(model=model, version=version, **age)
     view.apply_update(fleet_pb2.FleetUpdate(goals=[goal]))
 
 
-class HangingTold(FleetAgent):
-    """Tells control nodes of which one is away: calls to it end by timeout."""
+class AgentWithControlDown(FleetAgent):
+    """Announces to an unreachable control node: calls to it time out."""
 
-    def __init__(self, view, quickest_part_s):
+    def __init__(self, view, min_part_s):
         place = types.SimpleNamespace(
             rpc_address="b", target_address="b:1", failure_domain="d",
             region="r", target_service="s",
         )  # fmt: skip
         view.control_addresses = ("away",)
-        super().__init__(place, view, None, quickest_part_s)
+        super().__init__(place, view, None, min_part_s)
 
-    async def _tell(self, address):
-        await asyncio.sleep(_TELL_TIMEOUT_S)
+    async def _announce_to(self, address):
+        await asyncio.sleep(_ANNOUNCE_TIMEOUT_S)
 
 
-class Timed(FakeEngine):
-    """Notes when the first order came that ends work on old weights."""
+class TimedEngine(FakeEngine):
+    """Records the time of the first order that removes old weights."""
 
     ordered_at = None
 
@@ -72,14 +72,14 @@
 
 
 def ordered_after_s(loop, own, view, engine, stager, link_is_quick):
-    """Seconds from the naming until old weights were taken away."""
+    """Returns seconds from the announcement until old weights were removed."""
     switcher = FleetSwitcher(
         own, view, engine, stager, WEIGHTS_S, link_is_quick
     )
 
     async def scenario():
         began_at = now_s()
-        name(view, 2, age_ms=0)
+        announce_version(view, 2, age_ms=0)
         task = asyncio.create_task(switcher.run())
         await asyncio.sleep(WEIGHTS_S + 3.0)
         await cancelled(task)
@@ -89,20 +89,22 @@
 
 
 @pytest.mark.parametrize("quick_until_s", [7.3, 7.4, 7.5, 7.6, 7.65, 7.7])
-def test_a_word_to_control_does_not_delay_the_guard(loop, quick_until_s):
-    """The link fills shortly before the time, and one control node is away.
+def test_announcement_to_control_does_not_delay_the_guard(loop, quick_until_s):
+    """The link fills shortly before expiry; one control node is unreachable.
 
-    The change of the link's delay is told before the guard is asked.
+    The change of the link's delay is announced before the guard is polled.
     """
     view = make_view("m")
     began_at = loop.run(now())
 
-    def quick():
+    def is_quick():
         return now_s() - began_at < quick_until_s
 
-    own = HangingTold(view, lambda: 0.0 if quick() else 0.5)
-    engine = Timed(OLD)
-    after_s = ordered_after_s(loop, own, view, engine, NothingStaged(), quick)
+    own = AgentWithControlDown(view, lambda: 0.0 if is_quick() else 0.5)
+    engine = TimedEngine(OLD)
+    after_s = ordered_after_s(
+        loop, own, view, engine, NothingStaged(), is_quick
+    )
     assert after_s < WEIGHTS_S
 
 
@@ -112,7 +114,7 @@
 
 @pytest.mark.parametrize("start_s", [6.3, 6.6, 6.9, 7.1, 7.2, 7.25, 7.29])
 def test_reading_pieces_back_does_not_delay_the_guard(loop, start_s):
-    """96 pieces at 10 ms each, by an agent that waits for its turn."""
+    """The agent reads 96 pieces at 10 ms each while it waits to switch."""
 
     class SlowToRead(NothingStaged):
         async def restage(self):
@@ -122,29 +124,33 @@
     view = make_view("m")
     view.take([], [agent("a", fleet_pb2.AGENT_SWITCHING)])
     stager = SlowToRead()
-    loop.call_later(start_s, setattr, stager, "staged", Wanted("m", 2))
+    loop.call_later(start_s, setattr, stager, "staged", ModelVersion("m", 2))
     own = FakeOwn(view, "b")
-    engine = Timed(OLD)
+    engine = TimedEngine(OLD)
     after_s = ordered_after_s(loop, own, view, engine, stager, lambda: True)
     assert after_s < WEIGHTS_S
 
 
-def test_an_agent_that_ends_tells_what_it_gave_up(loop):
-    """Nobody else tells it until the next process has heard its target."""
+def test_stopping_agent_announces_dropped_weights(loop):
+    """No other process announces it until the agent has restarted."""
     view = make_view("m")
-    told = []
+    announced = []
 
-    class Noting(FakeOwn):
-        async def tell(self, phase, held, staged, target_born_ms=0):
-            told.append([part.end_layer for part in held])
+    class RecordingOwn(FakeOwn):
+        async def announce(self, phase, held, staged, target_born_ms=0):
+            announced.append([part.end_layer for part in held])
 
     switcher = FleetSwitcher(
-        Noting(view, "b"), view, FakeEngine(OLD), NothingStaged(), WEIGHTS_S
+        RecordingOwn(view, "b"),
+        view,
+        FakeEngine(OLD),
+        NothingStaged(),
+        WEIGHTS_S,
     )
 
     async def scenario():
-        name(view, 2, age_ms=6000)
+        announce_version(view, 2, age_ms=6000)
         await switcher.leave()
 
     loop.run(scenario())
-    assert told and told[-1] == [1]
+    assert announced and announced[-1] == [1]
--- a/damaskcroft/agent/tests/test_version_choice.py
+++ b/damaskcroft/agent/tests/test_version_choice.py
@@ -1,11 +1,11 @@
-"""Which version is wanted beside targets of either kind."""
+"""Choice of the version to stage, for targets with and without layers."""
 
 import hashlib
 
 import pytest
 
 from damaskcroft._generated import fleet_pb2
-from damaskcroft.agent._version_choice import VersionChoice, Wanted
+from damaskcroft.agent._version_choice import ModelVersion, VersionChoice
 from damaskcroft.fleet import FleetView
 from damaskcroft.weights import MemoryStore, manifest_of_digests
 
@@ -20,8 +20,8 @@
 
 
 @pytest.mark.parametrize("layers", [0, 4])
-def test_no_version_is_wanted_that_is_older_than_what_serves(loop, layers):
-    """Before: targets that tell no layers were taken to hold nothing."""
+def test_no_version_older_than_the_served_one_is_staged(loop, layers):
+    """Targets that report no layers were once assumed to hold nothing."""
     view = FleetView()
     engine = fleet_pb2.EngineProfile(models=[fleet_pb2.EngineModel(name="m")])
     service = fleet_pb2.Service(name="s", engine=engine)
@@ -31,11 +31,11 @@
     store = MemoryStore(10**6)
     digests = [hashlib.sha256(data).digest() for data in CHUNKS]
     manifest = manifest_of_digests("m", "2", 50, digests)
-    begun = store.open_version(
+    partial = store.open_version(
         manifest.SerializeToString(deterministic=True), set()
     )
     for index, data in enumerate(CHUNKS):
-        begun.write_chunk(index, data)
+        partial.write_chunk(index, data)
     held = fleet_pb2.HeldLayers(model="m", version=3, end_layer=layers)
     choice = VersionChoice(FakeOwn(held), view, store, LINK_BYTES_S, WEIGHTS_S)
 
@@ -43,6 +43,6 @@
         for version in (2, 3, 4):
             goal = fleet_pb2.WeightGoal(model="m", version=version, age_ms=0)
             view.apply_update(fleet_pb2.FleetUpdate(goals=[goal]))
-        assert choice.wanted() == Wanted("m", 4)
+        assert choice.version_to_stage() == ModelVersion("m", 4)
 
     loop.run(scenario())
