--- a/damaskcroft/weights/__init__.py
+++ b/damaskcroft/weights/__init__.py
@@ -1,4 +1,4 @@
-"""Weights on their way: manifests, chunks, who fetches from whom."""
+"""Distribution of weights: manifests, chunks, planning and transfer."""
 
 from damaskcroft.weights._burst import Burst, BurstOptions, help_share
 from damaskcroft.weights._errors import (
--- a/damaskcroft/weights/_burst.py
+++ b/damaskcroft/weights/_burst.py
@@ -1,10 +1,11 @@
-"""One agent's part in a burst: getting every chunk of one version.
-
-Chunks that this agent must read from outside go first and on their own. Of the
-others, those that a neighbour is known to hold are asked of it, and the rest of
-their parents in the trees, a bounded number at once. Whoever holds a chunk not
-yet keeps the question open, so a chunk moves on as soon as it has arrived and
-been checked. What is late is looked for elsewhere: see `_rescue`.
+"""One agent's part in a burst: fetches every chunk of one version.
+
+Chunks that this agent must read from outside have tasks of their own, which
+start first. The other chunks are requested from a neighbour if one is known to
+hold them, and otherwise from their parents in the trees, with a bounded number
+of requests at once. An agent that does not hold a requested chunk yet keeps the
+request open, so a chunk moves on as soon as it has arrived and been verified.
+Overdue chunks are fetched from other sources: see `_rescue`.
 """
 
 import asyncio
@@ -21,38 +22,40 @@
 from damaskcroft.weights._fetcher import BurstCounts, Fetcher
 from damaskcroft.weights._gossip import Gossip
 from damaskcroft.weights._late_reading import LateReading
-from damaskcroft.weights._named_manifest import NamedManifest
+from damaskcroft.weights._manifest_fetcher import ManifestFetcher
 from damaskcroft.weights._outside import OutsideSource
 from damaskcroft.weights._pacer import Pacer
+from damaskcroft.weights._peer_selection import PeerSelector
 from damaskcroft.weights._peers import PeerSource
 from damaskcroft.weights._planner import Participant, Planner
-from damaskcroft.weights._reading import SharedReading
 from damaskcroft.weights._rescue import Rescuer
-from damaskcroft.weights._sources import Sources
+from damaskcroft.weights._shared_reading import SharedReading
 from damaskcroft.weights._store import ChunkStore, StagedVersion
 from damaskcroft.weights._suspects import Suspects
 
-_LOOK_EVERY_S = 0.05
-# A line a second for each agent; the first of the missing chunks tell which
-# parts of the trees are late.
-_PROGRESS_EVERY_S = 1.0
-_SHOWN = 8
-# A chunk that was late is asked for again after so many others: about as many
-# as come in the time that it was waited for.
-_PUT_BACK_PLACES = 16
-# Who has nothing to ask for looks again after this time: a chunk that was on
-# its way may have been lost.
-_PUT_BACK_WITHIN_S = 0.2
-# Agents may all read a chunk from outside at once if its link carries these in
-# that time: about what the word of a chunk takes to reach them.
-_AT_ONCE_S = 0.5
-# How many chunks may be on their way between the outside link and the leaves
-# of the trees: some for each hop.
+_POLL_S = 0.05
+# One line a second for each agent; the first missing chunks show which parts of
+# the trees are late.
+_PROGRESS_INTERVAL_S = 1.0
+_MAX_LOGGED_CHUNKS = 8
+# A chunk that was late is requested again after this many others: about as many
+# as arrive in the time that was spent waiting for it.
+_REQUEUE_POSITION = 16
+# A task without a chunk to request checks again after this time, because a
+# chunk that was in transfer may have been lost.
+_REQUEUE_POLL_S = 0.2
+# All agents may read a chunk from outside at once if the outside link carries
+# these reads within this time: about the time that the news of a chunk takes to
+# reach them.
+_CONCURRENT_READ_S = 0.5
+# Chunks that may be in flight between the outside link and the leaves of the
+# trees: some for each hop.
 _READ_AHEAD_PER_HOP = 4
 _MIN_READ_AHEAD = 8
-# More than this from outside takes longer than it saves, where the origin's
-# link is twice a machine's: docs/design/002-burst.md.
-_MAX_HELP_COPIES = 0.5
+# Reading more copies than this from outside costs more time than it saves,
+# where the origin's link has twice the rate of a machine's:
+# docs/design/002-burst.md.
+_MAX_EXTRA_COPIES = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -60,14 +63,15 @@
     """Bounds of one agent's part in a burst.
 
     Attributes:
-        parallel_fetches: chunks asked of peers at once.
+        parallel_fetches: chunks requested from peers at once.
         parallel_outside: chunks read from outside at once.
-        wait_s: how long a peer may keep a question open.
-        in_step: whether outside reads keep in step with the trees. Not where
-            the outside link has the rate of a few agents' links and may be
-            lost at any moment: then what is read early is safe.
-        outside_bytes_s: rate of the outside link, which all agents share; 0
-            if unknown.
+        wait_s: how long a peer may keep a request open.
+        in_step: whether outside reads are paced by the progress of the trees.
+            False where the outside link has the rate of a few agents' links and
+            may be lost at any moment, because a chunk that is read early is
+            then safe.
+        outside_bytes_s: rate of the outside link, which all agents share; 0 if
+            unknown.
     """
 
     parallel_fetches: int = 64
@@ -78,17 +82,17 @@
 
 
 class Burst:
-    """Gets one version onto this instance.
+    """Fetches one version to this instance.
 
     Args:
-        own_id: this agent.
-        path: where outside sources keep the version.
-        store: where chunks are kept.
+        own_id: id of this agent.
+        path: the version's path at the outside sources.
+        store: stores the chunks.
         sources: outside sources; the first is preferred.
-        peers: how other agents are asked.
-        pacer: paces what comes in from outside.
-        options: bounds.
-        counts: where bytes are counted.
+        peers: client for other agents.
+        pacer: paces the reads from outside.
+        options: bounds on concurrency and waiting.
+        counts: counters of bytes and corrupt chunks.
     """
 
     def __init__(
@@ -102,7 +106,7 @@
         options: BurstOptions,
         counts: BurstCounts,
     ):
-        """Creates a burst that has not begun."""
+        """No planner is set, and nothing is requested until `run`."""
         self._own_id = own_id
         self._path = path
         self._store = store
@@ -112,39 +116,39 @@
         self._options = options
         self._counts = counts
         self._planner: Planner | None = None
-        self._sources: Sources | None = None
+        self._selector: PeerSelector | None = None
         self._help_share = 0.0
         self._read_ahead = _MIN_READ_AHEAD
-        self._taken: set[int] = set()
-        # Given when a chunk is to be asked for again.
-        self._put_back = Signal()
-        # Whether chunks are read from outside by turns of the whole fleet.
-        self._by_turns = False
+        self._claimed: set[int] = set()
+        # Signalled when a chunk is to be requested again.
+        self._requeued = Signal()
+        # Whether the whole fleet reads chunks from outside in turn.
+        self._reads_in_turn = False
         self._suspects = Suspects()
         self._outside_slots = asyncio.Semaphore(options.parallel_outside)
         self._rng = random.Random(own_id)
 
     def plan_with(self, planner: Planner, help_share: float = 0.0) -> None:
-        """Takes a new planner, when participants come or go.
+        """Sets the planner, at first and when participants join or leave.
 
         Args:
             planner: chooses each chunk's source.
             help_share: share of the version that this agent may read from
-                outside beyond what the planner gives it.
+                outside beyond what the planner assigns to it.
         """
         self._planner = planner
-        self._sources = None
+        self._selector = None
         self._help_share = help_share
         hops = len(planner.participants).bit_length()
         self._read_ahead = max(_MIN_READ_AHEAD, _READ_AHEAD_PER_HOP * hops)
 
     async def fetch_manifest(self, digest: str) -> bytes:
-        """Gets the manifest that a record names, from a peer if it can.
+        """Fetches the manifest that a record names, from a peer if possible.
 
         Raises:
-            ManifestError: the outside source holds another one.
+            ManifestError: the outside source holds another manifest.
         """
-        named = NamedManifest(
+        manifest_fetcher = ManifestFetcher(
             self._path,
             self._outside,
             self._peers,
@@ -152,51 +156,55 @@
             self._suspects,
             self._options.wait_s,
         )
-        return await named.fetch(digest)
+        return await manifest_fetcher.fetch(digest)
 
     async def run(self, version: StagedVersion) -> None:
-        """Gets every missing chunk; returns when all are held."""
+        """Fetches every missing chunk; returns when all are held."""
         self._copy_local(version)
         missing = version.missing()
-        self._by_turns = self._needs_turns(version)
-        # By turns anybody may read any chunk, and all are looked for.
-        own = [
-            i for i in missing if not self._by_turns and self._parent(i) is None
+        self._reads_in_turn = self._must_read_in_turn(version)
+        # When chunks are read in turn, any agent may read any chunk, and all
+        # missing chunks are also requested from peers.
+        assigned = [
+            i
+            for i in missing
+            if not self._reads_in_turn and self._parent(i) is None
         ]
-        others = [i for i in missing if i not in own]
-        self._taken = set()
+        others = [i for i in missing if i not in assigned]
+        self._claimed = set()
         indexes = collections.deque(others)
         fetcher = self._fetcher(version)
         rescuer = Rescuer(
             version,
             fetcher,
-            lambda: self._sources_of(version),
+            lambda: self._selector_for(version),
             self._rng,
-            reads_outside=lambda: not self._by_turns,
+            reads_outside=lambda: not self._reads_in_turn,
         )
-        works = [
-            self._read_outside(version, fetcher, own, indexes),
+        jobs = [
+            self._read_outside(version, fetcher, assigned, indexes),
             rescuer.run(self._suspects),
             self._tell_progress(version),
             self._gossip(version),
             *(
                 self._work(version, fetcher, indexes)
-                for _ in range(self._questions())
+                for _ in range(self._max_requests())
             ),
         ]
-        tasks = [asyncio.create_task(work) for work in works]
-        # What came another way is no longer waited for.
-        whole = asyncio.create_task(version.wait_until_complete())
-        running = {whole, *tasks}
+        tasks = [asyncio.create_task(work) for work in jobs]
+        # The burst ends as soon as the version is complete, whichever task
+        # stored the last chunk.
+        completion = asyncio.create_task(version.wait_until_complete())
+        running = {completion, *tasks}
         try:
-            while not whole.done():
+            while not completion.done():
                 done, running = await asyncio.wait(
                     running, return_when=asyncio.FIRST_COMPLETED
                 )
                 for task in done:
                     task.result()
         finally:
-            await end_all([whole, *tasks])
+            await end_all([completion, *tasks])
 
     def _fetcher(self, version: StagedVersion) -> Fetcher:
         return Fetcher(
@@ -212,68 +220,73 @@
         )
 
     async def _tell_progress(self, version: StagedVersion) -> None:
-        """One line a second while chunks come."""
+        """Logs one line a second until the version is complete."""
         while not version.is_complete:
             log_event(
                 "burst_progress",
                 path=self._path,
                 held=version.held_count,
                 known=version.holdings.known_count,
-                missing=",".join(map(str, version.missing()[:_SHOWN])),
+                missing=",".join(
+                    map(str, version.missing()[:_MAX_LOGGED_CHUNKS])
+                ),
                 origin_bytes=self._counts.origin_bytes,
                 peer_bytes=self._counts.peer_bytes,
                 sent_bytes=self._counts.sent_bytes,
-                suspects=",".join(sorted(self._suspects.now())),
+                suspects=",".join(sorted(self._suspects.current_ids())),
             )
-            await asyncio.sleep(_PROGRESS_EVERY_S)
+            await asyncio.sleep(_PROGRESS_INTERVAL_S)
 
     async def _gossip(self, version: StagedVersion) -> None:
-        """Where chunks are read from outside beyond one's share."""
+        """Gossips if agents read chunks from outside beyond their share."""
         if self._options.in_step:
             return
         while self._planner is None:
-            await asyncio.sleep(_LOOK_EVERY_S)
+            await asyncio.sleep(_POLL_S)
         gossip = Gossip(self._own_id, version, self._peers, self._rng)
         await gossip.run(self._planner, self._suspects)
 
-    def _questions(self) -> int:
-        """Chunks to ask for at once: no more than can be on their way."""
-        on_their_way = self._read_ahead + _MIN_READ_AHEAD
-        return min(self._options.parallel_fetches, on_their_way)
+    def _max_requests(self) -> int:
+        """Chunks to request at once: no more than can be in flight."""
+        in_flight = self._read_ahead + _MIN_READ_AHEAD
+        return min(self._options.parallel_fetches, in_flight)
 
-    def _may_take_turns(self) -> bool:
-        """Whether agents tell each other what they hold, and who they are."""
+    def _can_read_in_turn(self) -> bool:
+        """Whether agents exchange holdings and the participants are known."""
         return not self._options.in_step and self._planner is not None
 
-    def _needs_turns(self, version: StagedVersion) -> bool:
-        """Whether all agents reading at once would get their chunks late."""
-        return self._may_take_turns() and not self._are_carried(version, 1)
+    def _must_read_in_turn(self, version: StagedVersion) -> bool:
+        """Whether concurrent reads by all agents would all be late."""
+        return self._can_read_in_turn() and not self._fits_outside_link(
+            version, 1
+        )
 
-    def _would_collide(self, version: StagedVersion) -> bool:
-        """Whether all agents would be late by reading what nobody holds."""
+    def _would_overload_outside(self, version: StagedVersion) -> bool:
+        """Whether concurrent reads of all unread chunks would all be late."""
         unread = sum(
-            not version.holdings.is_known(index) for index in version.missing()
+            not version.holdings.is_held_anywhere(index)
+            for index in version.missing()
         )
-        return not self._are_carried(version, unread)
+        return not self._fits_outside_link(version, unread)
 
-    def _are_carried(self, version: StagedVersion, chunks: int) -> bool:
-        """Whether the outside link soon carries so many to each agent."""
+    def _fits_outside_link(self, version: StagedVersion, chunks: int) -> bool:
+        """Whether the outside link soon carries the chunks to all agents."""
         if self._planner is None or not self._options.outside_bytes_s:
             return True
         agents = len(self._planner.participants)
         chunk_bytes = version.manifest.chunks[0].size_bytes
-        carried_bytes = self._options.outside_bytes_s * _AT_ONCE_S
+        carried_bytes = self._options.outside_bytes_s * _CONCURRENT_READ_S
         return chunks * agents * chunk_bytes <= carried_bytes
 
     def _parent(self, index: int) -> Participant | None:
         if self._planner is None:
             return None
-        return self._planner.parent(index, self._suspects.now())
+        return self._planner.parent(index, self._suspects.current_ids())
 
     def _copy_local(self, version: StagedVersion) -> None:
-        """Takes chunks that an older version already holds."""
+        """Copies the chunks that an older version already holds."""
         for index in version.missing():
-            data = self._store.local_copy(version.manifest.chunks[index].digest)
+            data = self._store.find_chunk(version.manifest.chunks[index].digest)
             if data is not None and version.write_chunk(index, data):
                 self._counts.local_bytes += len(data)
                 metrics.BURST_BYTES.labels("local").inc(len(data))
@@ -282,42 +295,47 @@
         self,
         version: StagedVersion,
         fetcher: Fetcher,
-        own: list[int],
+        assigned: list[int],
         indexes: collections.deque[int],
     ) -> None:
-        """Reads by the plan, or in turn with all others.
+        """Reads the assigned chunks, or all missing ones in turn.
 
-        Once the outside source has been away, everybody misses the same chunks,
-        and all would read these as soon as it is back.
+        When the outside source has been unavailable, all agents miss the same
+        chunks, and without turns all would read these as soon as it is back.
         """
-        if not self._by_turns:
-            planned = self._read_planned(version, fetcher, own, list(indexes))
-            if not self._may_take_turns():
+        if not self._reads_in_turn:
+            planned = self._read_planned(
+                version, fetcher, assigned, list(indexes)
+            )
+            if not self._can_read_in_turn():
                 await planned
                 return
-            if await _ends_before(
+            if await _finishes_before(
                 planned,
                 lambda: (
-                    fetcher.outside_is_away and self._would_collide(version)
+                    fetcher.is_outside_unavailable
+                    and self._would_overload_outside(version)
                 ),
             ):
                 return
             log_event("outside_read_by_turns", path=self._path)
-            self._by_turns = True
-            # Others may read them now.
-            indexes.extend(index for index in own if not version.held[index])
-            self._put_back.give()
+            self._reads_in_turn = True
+            # Other agents may read them now.
+            indexes.extend(
+                index for index in assigned if not version.held[index]
+            )
+            self._requeued.give()
         await self._read_shared(version, fetcher)
 
     async def _read_planned(
         self,
         version: StagedVersion,
         fetcher: Fetcher,
-        own: list[int],
+        assigned: list[int],
         others: list[int],
     ) -> None:
-        """Reads this agent's chunks, then helps with those far off yet."""
-        indexes = iter(own)
+        """Reads the assigned chunks, then others that are far from arriving."""
+        indexes = iter(assigned)
         async with asyncio.TaskGroup() as group:
             for _ in range(self._options.parallel_outside):
                 group.create_task(self._read_own(version, fetcher, indexes))
@@ -330,11 +348,11 @@
             budget_bytes -= version.manifest.chunks[index].size_bytes
             if budget_bytes < 0:
                 return
-            if index in self._taken:
+            if index in self._claimed:
                 continue
-            self._taken.add(index)
+            self._claimed.add(index)
             while not version.held[index]:
-                await fetcher.from_outside(index)
+                await fetcher.read_from_outside(index)
 
     async def _read_shared(
         self, version: StagedVersion, fetcher: Fetcher
@@ -356,20 +374,22 @@
         fetcher: Fetcher,
         indexes: Iterator[int],
     ) -> None:
-        """Reads in step with the whole fleet.
+        """Reads the assigned chunks at the pace of the whole fleet.
 
-        If all agents read at once, the outside link's rate would be shared
-        by all chunks, and all would arrive late and together. So a chunk is
-        read when one some way before it has come round by the tree.
+        If all agents read at once, all chunks would share the outside link's
+        rate and arrive late and at the same time. A chunk is therefore read
+        when one a fixed distance before it has arrived over the tree.
         """
         for index in indexes:
             if self._options.in_step:
-                await self._wait_in_step(version, index - self._read_ahead)
+                await self._wait_for_progress(version, index - self._read_ahead)
             while not version.held[index]:
-                await self._try(version, fetcher, index)
+                await self._attempt(version, fetcher, index)
 
-    async def _wait_in_step(self, version: StagedVersion, index: int) -> None:
-        """Waits for a chunk for as long as others keep arriving."""
+    async def _wait_for_progress(
+        self, version: StagedVersion, index: int
+    ) -> None:
+        """Waits for a chunk as long as other chunks keep arriving."""
         if index < 0:
             return
         held_count = -1
@@ -384,88 +404,93 @@
         fetcher: Fetcher,
         indexes: collections.deque[int],
     ) -> None:
-        """Asks for one chunk after another; one that is late is put back.
+        """Requests one chunk after another; a late one is requeued.
 
-        So chunks that a slow agent was to give don't keep others from being
-        asked for.
+        Chunks of a slow agent therefore do not delay requests for other chunks.
         """
         while not version.is_complete:
-            index = self._pick(version, fetcher, indexes)
+            index = self._next_index(version, fetcher, indexes)
             if index is None:
-                # Others are asked for by now, and may be put back.
-                await self._put_back.next(_PUT_BACK_WITHIN_S)
+                # The other chunks are being requested, and may be requeued.
+                await self._requeued.next(_REQUEUE_POLL_S)
                 continue
             if version.held[index]:
                 continue
-            self._taken.add(index)
+            self._claimed.add(index)
             asked_at = now_s()
             while not version.held[index]:
-                await self._try(version, fetcher, index)
+                await self._attempt(version, fetcher, index)
                 if now_s() - asked_at > self._options.wait_s:
                     break
             if not version.held[index]:
-                indexes.insert(_PUT_BACK_PLACES, index)
-                self._put_back.give()
+                indexes.insert(_REQUEUE_POSITION, index)
+                self._requeued.give()
 
-    def _pick(
+    def _next_index(
         self,
         version: StagedVersion,
         fetcher: Fetcher,
         indexes: collections.deque[int],
     ) -> int | None:
-        """The next chunk to ask for: one that a neighbour holds, if any.
+        """The next chunk to request: one that a neighbour holds, if any.
 
-        They are taken at random, so that neighbours soon hold different ones
-        to give to each other. What is on its way already is left for later.
+        Chunks are chosen at random, so that neighbours soon hold different ones
+        to send to each other. Chunks that are in transfer already are left for
+        later.
         """
-        waiting = [i for i in indexes if i not in fetcher.arrivals]
+        waiting = [i for i in indexes if i not in fetcher.transfers]
         if not waiting:
             return None
-        sources = self._sources_of(version)
-        at_hand: list[int] = []
-        if sources is not None:
-            at_hand = sources.at_hand(waiting, self._suspects.now())
-        index = self._rng.choice(at_hand) if at_hand else waiting[0]
+        selector = self._selector_for(version)
+        held_nearby: list[int] = []
+        if selector is not None:
+            held_nearby = selector.held_nearby(
+                waiting, self._suspects.current_ids()
+            )
+        index = self._rng.choice(held_nearby) if held_nearby else waiting[0]
         indexes.remove(index)
         return index
 
-    def _sources_of(self, version: StagedVersion) -> Sources | None:
+    def _selector_for(self, version: StagedVersion) -> PeerSelector | None:
         if self._planner is None:
             return None
-        if self._sources is None:
-            self._sources = Sources(self._planner, version.holdings, self._rng)
-        return self._sources
+        if self._selector is None:
+            self._selector = PeerSelector(
+                self._planner, version.holdings, self._rng
+            )
+        return self._selector
 
-    async def _try(
+    async def _attempt(
         self, version: StagedVersion, fetcher: Fetcher, index: int
     ) -> None:
-        sources = self._sources_of(version)
-        parent = None
-        if sources is not None:
-            parent = sources.choose(index, self._suspects.now())
-        if parent is not None and sources is not None:
+        selector = self._selector_for(version)
+        peer = None
+        if selector is not None:
+            peer = selector.choose(index, self._suspects.current_ids())
+        if peer is not None and selector is not None:
             wait_s = self._options.wait_s
-            await fetcher.from_peer(index, parent, sources, wait_s)
+            await fetcher.fetch_from_peer(index, peer, selector, wait_s)
             return
-        if self._by_turns:
-            # Read in turn with all others, or found with one of them.
-            await version.wait_for_chunk(index, _LOOK_EVERY_S)
+        if self._reads_in_turn:
+            # Another agent may read it in its turn, and this one then fetch it
+            # there.
+            await version.wait_for_chunk(index, _POLL_S)
             return
         async with self._outside_slots:
             if not version.held[index]:
-                await fetcher.from_outside(index)
+                await fetcher.read_from_outside(index)
 
 
-async def _ends_before(
-    work: Coroutine[Any, Any, None], is_over: Callable[[], bool]
+async def _finishes_before(
+    work: Coroutine[Any, Any, None], should_stop: Callable[[], bool]
 ) -> bool:
-    """Whether work ends before a condition holds, which ends it otherwise."""
+    """Runs work until it ends (True) or a condition holds (False)."""
     working = asyncio.create_task(work)
     try:
         while not working.done():
-            if is_over():
+            if should_stop():
                 return False
-            await asyncio.wait({working}, timeout=_LOOK_EVERY_S)
+            await asyncio.wait({working}, timeout=_POLL_S)
         working.result()
         return True
     finally:
@@ -477,9 +502,10 @@
 ) -> float:
     """Share of a version that each agent may read beyond the first copy.
 
-    The first copy passes through every policy's trees; more reads from
-    outside only help with the chunks that are furthest from arriving.
+    The first copy is distributed over the trees under every policy; further
+    reads from outside only help with the chunks that are furthest from
+    arriving.
     """
     if policy == records_pb2.FEWEST_ORIGIN_BYTES:
         return 0.0
-    return min(copies_cap - 1, _MAX_HELP_COPIES) / agents
+    return min(copies_cap - 1, _MAX_EXTRA_COPIES) / agents
--- a/damaskcroft/weights/_errors.py
+++ b/damaskcroft/weights/_errors.py
@@ -1,4 +1,4 @@
-"""Errors of weights and their store."""
+"""Errors of the distribution and storage of weights."""
 
 
 class WeightsError(Exception):
@@ -6,8 +6,8 @@
 
 
 class ManifestError(WeightsError):
-    """A manifest that is malformed or isn't the one that was named."""
+    """A manifest that is malformed or has another digest than expected."""
 
 
 class StoreFullError(WeightsError):
-    """The byte budget admits no further version."""
+    """The byte budget has no room for a further version."""
--- a/damaskcroft/weights/_fetcher.py
+++ b/damaskcroft/weights/_fetcher.py
@@ -1,4 +1,4 @@
-"""Getting one chunk from one place, and what is learned of that place."""
+"""Fetches one chunk from one source, and records its failures."""
 
 import asyncio
 import dataclasses
@@ -8,10 +8,10 @@
 from damaskcroft._generated import agent_pb2
 from damaskcroft.clock import now_s
 from damaskcroft.observe import log_event, metrics
-from damaskcroft.weights._arrivals import Arrivals
 from damaskcroft.weights._holdings import packed
 from damaskcroft.weights._outside import OutsideData, OutsideSource
 from damaskcroft.weights._pacer import Pacer
+from damaskcroft.weights._peer_selection import PeerSelector
 from damaskcroft.weights._peers import (
     PeerData,
     PeerFailed,
@@ -20,29 +20,31 @@
     PeerUnaware,
 )
 from damaskcroft.weights._planner import Participant
-from damaskcroft.weights._sources import Sources
 from damaskcroft.weights._store import StagedVersion
 from damaskcroft.weights._suspects import Suspects
+from damaskcroft.weights._transfers import ActiveTransfers
 from damaskcroft.weights._unaware import UnawareAgents
 
 __all__ = ["CORRUPT_SUSPECT_S", "SUSPECT_S", "BurstCounts", "Fetcher"]
 
-# Silence may be a full link's; a refused connection a restart of a second.
+# A silent agent may be behind a full link, which lasts for seconds; a refused
+# connection may be due to a restart, which takes about a second.
 _STALLED_SUSPECT_S = 5.0
 SUSPECT_S = 1.0
 CORRUPT_SUSPECT_S = 300.0
 _MIN_PAUSE_S = 0.02
 _MAX_PAUSE_S = 1.0
-# For so long no read succeeds before an outside source counts as away.
-_AWAY_S = 1.0
-# How long agents may take to hear of a version: they do so within some tenths
-# of a second of each other.
-_HEARS_WITHIN_S = 0.4
+# An outside source counts as unavailable when no read has succeeded for this
+# long.
+_UNAVAILABLE_AFTER_S = 1.0
+# How long agents may take to learn of a version: they receive the configuration
+# within some tenths of a second of each other.
+_LEARN_TIMEOUT_S = 0.4
 
 
 @dataclasses.dataclass(slots=True)
 class BurstCounts:
-    """Bytes by source and faults met, for reports."""
+    """Bytes by source, and corrupt chunks, for reports."""
 
     origin_bytes: int = 0
     store_bytes: int = 0
@@ -56,18 +58,18 @@
     """Fetches chunks of one version.
 
     Attributes:
-        arrivals: what is being transferred now.
+        transfers: chunks that are being transferred now.
 
     Args:
-        own_id: this agent.
-        path: where outside sources keep the version.
-        version: where chunks are kept.
+        own_id: id of this agent.
+        path: the version's path at the outside sources.
+        version: stores the chunks.
         outside: outside sources; the first is preferred.
-        peers: how other agents are asked.
-        pacer: paces what comes in from outside.
-        counts: where bytes are counted.
-        suspects: agents that don't answer.
-        rng: spreads pauses.
+        peers: client for other agents.
+        pacer: paces the reads from outside.
+        counts: counters of bytes and corrupt chunks.
+        suspects: agents that failed; failures are added to it.
+        rng: randomises pauses.
     """
 
     __slots__ = (
@@ -83,7 +85,7 @@
         "_suspects",
         "_unaware",
         "_version",
-        "arrivals",
+        "transfers",
     )
 
     def __init__(
@@ -98,7 +100,7 @@
         suspects: Suspects,
         rng: random.Random,
     ):
-        """See the class."""
+        """Requests nothing at first."""
         self._own_id = own_id
         self._path = path
         self._version = version
@@ -109,23 +111,29 @@
         self._suspects = suspects
         self._rng = rng
         self._unaware = UnawareAgents(
-            suspects, path, _HEARS_WITHIN_S, SUSPECT_S
+            suspects, path, _LEARN_TIMEOUT_S, SUSPECT_S
         )
-        self.arrivals = Arrivals(lambda: len(version.held) - version.held_count)
-        # Reads from outside have failed since then; None after one that didn't.
+        self.transfers = ActiveTransfers(
+            lambda: len(version.held) - version.held_count
+        )
+        # Since when all reads from outside have failed; None after a success.
         self._failing_since: float | None = None
         self._failed_at = 0.0
 
-    async def from_peer(
-        self, index: int, peer: Participant, sources: Sources, wait_s: float
+    async def fetch_from_peer(
+        self,
+        index: int,
+        peer: Participant,
+        selector: PeerSelector,
+        wait_s: float,
     ) -> None:
-        """Asks an agent for a chunk, and notes what else it holds.
+        """Requests a chunk from an agent and records what else it holds.
 
         Args:
-            index: which chunk.
-            peer: whom to ask.
-            sources: whom else there is to ask.
-            wait_s: how long it may keep the question open.
+            index: index of the chunk.
+            peer: the agent to ask.
+            selector: knows which other agents hold the chunk.
+            wait_s: how long the agent may keep the request open.
         """
         version = self._version
         request = agent_pb2.ChunkRequest(
@@ -137,40 +145,40 @@
             known=version.holdings.known(),
         )
 
-        def may_leave() -> bool:
-            return bool(version.held[index]) or sources.is_had_nearer(
-                index, peer.id, self._suspects.now()
+        def should_abandon() -> bool:
+            return bool(version.held[index]) or selector.has_better_source(
+                index, peer.id, self._suspects.current_ids()
             )
 
-        with sources.asking(peer.id):
+        with selector.open_request(peer.id):
             outcome = await self._peers.fetch_chunk(
                 peer.address,
                 request,
-                may_leave,
-                lambda: self.arrivals.transfer(index),
+                should_abandon,
+                lambda: self.transfers.transfer(index),
                 is_held=peer.id in version.holdings.holders(index),
             )
         match outcome:
             case PeerData(data=data, held=held, known=known):
                 self._suspects.clear(peer.id)
                 version.holdings.note(peer.id, held, known)
-                self._take(index, data, "peer", peer.id)
+                self._store_chunk(index, data, "peer", peer.id)
             case PeerNotYet(held=held, known=known):
                 version.holdings.note(peer.id, held, known)
                 await asyncio.sleep(_MIN_PAUSE_S)
             case PeerUnaware():
                 await asyncio.sleep(_MIN_PAUSE_S)
-                self._unaware.note(peer.id)
+                self._unaware.record(peer.id)
             case PeerFailed(reason=reason):
                 self._suspect(peer, reason)
 
-    async def from_outside(self, index: int) -> None:
-        """Reads a chunk from the first outside source that gives it."""
+    async def read_from_outside(self, index: int) -> None:
+        """Reads a chunk from the first outside source that delivers it."""
         has_failed = False
         for source in self._outside:
             if source.closed_for_s > 0:
                 continue
-            with self.arrivals.transfer(index) as may_begin:
+            with self.transfers.transfer(index) as may_begin:
                 if not may_begin:
                     break
                 outcome = await source.fetch_chunk(
@@ -179,34 +187,35 @@
             if isinstance(outcome, OutsideData):
                 await self._pacer.pass_bytes(len(outcome.data))
                 self._failing_since = None
-                self._take(index, outcome.data, source.name, "")
+                self._store_chunk(index, outcome.data, source.name, "")
                 return
             has_failed = True
             metrics.BURST_SOURCE_FAILURES.labels(
                 f"{source.name}_{outcome.reason}"
             ).inc()
         if has_failed:
-            self._note_failure()
+            self._record_failure()
         await asyncio.sleep(self._pause_s())
 
     @property
-    def outside_is_away(self) -> bool:
-        """Whether reads from outside have only failed for a while.
+    def is_outside_unavailable(self) -> bool:
+        """Whether all reads from outside have failed for some time.
 
-        A single one may fail for want of a connection, or be cut.
+        A single failure is not enough: a read may fail because no connection is
+        free, or may be cut off.
         """
         if self._failing_since is None:
             return False
-        return self._failed_at - self._failing_since >= _AWAY_S
+        return self._failed_at - self._failing_since >= _UNAVAILABLE_AFTER_S
 
-    def _note_failure(self) -> None:
+    def _record_failure(self) -> None:
         self._failed_at = now_s()
         if self._failing_since is None:
             self._failing_since = self._failed_at
 
     def _suspect(self, peer: Participant, reason: str) -> None:
         metrics.BURST_SOURCE_FAILURES.labels(reason).inc()
-        if peer.id not in self._suspects.now():
+        if peer.id not in self._suspects.current_ids():
             log_event("peer_suspected", peer=peer.id, reason=reason)
         stalled = reason == "stalled"
         self._suspects.add(
@@ -214,12 +223,14 @@
         )
 
     def _pause_s(self) -> float:
-        """Until the first outside source is open again, spread a little."""
+        """Time until an outside source may be asked again, randomised."""
         wait_s = min(source.closed_for_s for source in self._outside)
         wait_s = min(max(wait_s, _MIN_PAUSE_S), _MAX_PAUSE_S)
         return wait_s * (1 + self._rng.random())
 
-    def _take(self, index: int, data: bytes, source: str, peer_id: str) -> None:
+    def _store_chunk(
+        self, index: int, data: bytes, source: str, peer_id: str
+    ) -> None:
         metrics.BURST_BYTES.labels(source).inc(len(data))
         field = f"{source}_bytes"
         setattr(self._counts, field, getattr(self._counts, field) + len(data))
--- a/damaskcroft/weights/_gossip.py
+++ b/damaskcroft/weights/_gossip.py
@@ -1,11 +1,11 @@
-"""Spreads the word of who holds which chunks.
+"""Spreads by gossip which agents hold which chunks.
 
 Anti-entropy after Demers et al., "Epidemic Algorithms for Replicated Database
 Maintenance" (PODC 1987): each agent exchanges all that it knows with one other
-at random, so that a word reaches all in a number of rounds that grows with the
-logarithm of their number. Without it the word would come with answers to
-questions alone, later between regions than a chunk takes to be read from
-outside.
+agent at random, so news reaches all agents in a number of rounds that grows
+with the logarithm of their number. Without gossip, news would travel only with
+answers to chunk requests: between regions that takes longer than reading a
+chunk from outside.
 """
 
 import asyncio
@@ -20,18 +20,18 @@
 
 __all__ = ["Gossip"]
 
-# Ten exchanges a second are under a hundredth of a link of 3.65 Mbit/s.
-_EVERY_S = 0.1
+# Ten exchanges a second use under a hundredth of a link of 3.65 Mbit/s.
+_EXCHANGE_INTERVAL_S = 0.1
 
 
 class Gossip:
-    """Exchanges one version's holdings with others.
+    """Exchanges one version's holdings with other agents.
 
     Args:
-        own_id: this agent.
-        version: what is wanted.
-        peers: how other agents are reached.
-        rng: chooses among them.
+        own_id: id of this agent.
+        version: the version being fetched.
+        peers: client for other agents.
+        rng: chooses the agent to exchange with.
     """
 
     __slots__ = ("_own_id", "_peers", "_rng", "_version")
@@ -43,22 +43,24 @@
         peers: PeerSource,
         rng: random.Random,
     ):
-        """See the class."""
+        """Exchanges nothing until `run` is called."""
         self._own_id = own_id
         self._version = version
         self._peers = peers
         self._rng = rng
 
     async def run(self, planner: Planner, suspects: Suspects) -> None:
-        """Exchanges until cancelled; a slow answer holds nothing up."""
+        """Exchanges until cancelled; a slow answer delays no other exchange."""
         async with asyncio.TaskGroup() as group:
             while True:
-                aside = suspects.now() | {self._own_id}
-                others = [p for p in planner.participants if p.id not in aside]
+                excluded = suspects.current_ids() | {self._own_id}
+                others = [
+                    p for p in planner.participants if p.id not in excluded
+                ]
                 if others:
                     other = self._rng.choice(others)
                     group.create_task(self._exchange(other.id, other.address))
-                await asyncio.sleep(_EVERY_S)
+                await asyncio.sleep(_EXCHANGE_INTERVAL_S)
 
     async def _exchange(self, agent_id: str, address: str) -> None:
         holdings = self._version.holdings
@@ -68,6 +70,6 @@
             held=packed(self._version.held),
             known=holdings.known(),
         )
-        heard = await self._peers.exchange(address, rumour)
-        if heard is not None:
-            holdings.note(agent_id, heard.held, heard.known)
+        reply = await self._peers.exchange(address, rumour)
+        if reply is not None:
+            holdings.note(agent_id, reply.held, reply.known)
--- a/damaskcroft/weights/_holdings.py
+++ b/damaskcroft/weights/_holdings.py
@@ -1,8 +1,8 @@
-"""Who else holds which chunks of a version, as agents tell in passing.
+"""Registry of the chunks that other agents hold.
 
-Every question for a chunk, and every first word of an answer, carries what its
-sender holds. So an agent whose planned source is late knows whom to ask
-instead, at no message more.
+Every chunk request, and the first message of every answer, carries what its
+sender holds. An agent whose planned source is late therefore knows which other
+agent to ask, without any further message.
 """
 
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 
 def packed(held: Iterable[int]) -> bytes:
-    """A bit for each chunk, the first chunk's the lowest.
+    """Packs one bit for each chunk, the first chunk's the lowest.
 
     Args:
         held: 1 for each chunk that is held, 0 for each that isn't.
@@ -25,44 +25,44 @@
 
 
 class Holdings:
-    """The newest word of each agent on one version's chunks."""
+    """What each agent last reported to hold of one version."""
 
-    __slots__ = ("_bits_by_id", "_known")
+    __slots__ = ("_bits_by_id", "_known_bits")
 
     def __init__(self) -> None:
-        """Knows of nobody's chunks."""
+        """No chunk is known to be held at first."""
         self._bits_by_id: dict[str, int] = {}
-        # Held by anybody, as whoever was talked to knows.
-        self._known = 0
+        # Chunks held by any agent, as reported by the agents contacted.
+        self._known_bits = 0
 
-    def is_known(self, index: int) -> bool:
-        """Whether anybody is known to hold a chunk, also by hearsay."""
-        return bool(self._known >> index & 1)
+    def is_held_anywhere(self, index: int) -> bool:
+        """Whether any agent is known to hold a chunk, also at second hand."""
+        return bool(self._known_bits >> index & 1)
 
     @property
     def known_count(self) -> int:
-        """How many chunks anybody else is known to hold."""
-        return self._known.bit_count()
+        """How many chunks any other agent is known to hold."""
+        return self._known_bits.bit_count()
 
     def known(self) -> bytes:
-        """A bit for each chunk that anybody is known to hold."""
-        return _as_bytes(self._known)
+        """One bit for each chunk that any agent is known to hold."""
+        return _as_bytes(self._known_bits)
 
     def note(self, agent_id: str, held: bytes, known: bytes = b"") -> None:
-        """Takes an agent's word; what it held once, it still holds.
+        """Adds an agent's report; chunks that it held before stay held.
 
         Args:
-            agent_id: who tells.
-            held: what it holds itself; see `packed`.
-            known: what it knows anybody to hold, likewise.
+            agent_id: the agent that reports.
+            held: chunks that it holds itself; see `packed`.
+            known: chunks that it knows any agent to hold, likewise.
         """
         before = self._bits_by_id.get(agent_id, 0)
-        told = int.from_bytes(held, "little")
-        self._bits_by_id[agent_id] = before | told
-        self._known |= told | int.from_bytes(known, "little")
+        reported = int.from_bytes(held, "little")
+        self._bits_by_id[agent_id] = before | reported
+        self._known_bits |= reported | int.from_bytes(known, "little")
 
-    def union(self, agent_ids: Iterable[str]) -> int:
-        """A bit for each chunk that any of some agents holds."""
+    def held_by_any(self, agent_ids: Iterable[str]) -> int:
+        """One bit for each chunk that any of the given agents holds."""
         bits = 0
         for agent_id in agent_ids:
             bits |= self._bits_by_id.get(agent_id, 0)
--- a/damaskcroft/weights/_late_reading.py
+++ b/damaskcroft/weights/_late_reading.py
@@ -1,9 +1,10 @@
-"""Which chunks an agent reads from outside beyond its own share, and when.
+"""Chooses chunks that an agent reads from outside beyond its share.
 
-For few agents before a quick source: all read their shares at once, as the
-trees give them, and the source's link stays full. Then each takes over what
-the planned readers are late with: one that is frozen, behind a narrow link or
-gone would hold up everyone, and the source may be lost at any moment.
+Intended for few agents and a fast source. All agents first read their shares at
+once, as the trees assign them, so that the source's link stays full. Each agent
+then takes over chunks with which planned readers are late: a reader that is
+frozen, behind a narrow link or gone would delay all agents, and the source may
+be lost at any moment.
 """
 
 import asyncio
@@ -18,21 +19,27 @@
 
 __all__ = ["LateReading"]
 
-# What a reader has still before it is left to it for so long after one's own
-# share, and what it is reading right now for longer: what a chunk takes on an
-# outside link that all share, and the word of it to come.
+# After an agent has read its own share, the chunks of another reader are left
+# to that reader for some time: longer for the chunk that it is reading now than
+# for those after it. The times cover the transfer of a chunk over an outside
+# link that all agents share, and the news of it.
 _LATER_GRACE_S = 0.1
 _NEXT_GRACE_S = 0.4
-# Between the agents that may take a chunk over: likewise.
-_TURN_S = 0.2
-_LOOK_EVERY_S = 0.03
+# Delay between the agents that may take a chunk over, chosen likewise.
+_TAKEOVER_DELAY_S = 0.2
+_POLL_S = 0.03
 
 
 class LateReading:
-    """Reads, in turn with the others, what planned readers are late with."""
+    """Reads chunks with which planned readers are late, in turn with others."""
 
-    __slots__ = ("_fetcher", "_planner", "_reader_id_by_index", "_suspects",
-                 "_version")  # fmt: skip
+    __slots__ = (
+        "_fetcher",
+        "_planner",
+        "_reader_id_by_index",
+        "_suspects",
+        "_version",
+    )
 
     def __init__(
         self,
@@ -41,45 +48,46 @@
         planner: Planner,
         suspects: Suspects,
     ):
-        """Reads nothing yet.
+        """Reads nothing until `run` is called.
 
         Args:
-            version: what is wanted.
-            fetcher: reads.
-            planner: knows who is to read what.
-            suspects: agents that don't answer; their turns are left out.
+            version: the version being fetched.
+            fetcher: reads chunks from outside.
+            planner: assigns readers and turns.
+            suspects: agents that do not answer; they get no turn.
         """
         self._version = version
         self._fetcher = fetcher
         self._planner = planner
         self._suspects = suspects
-        # Who is to read a chunk doesn't depend on who is well.
+        # The assignment does not depend on which agents are suspected.
         self._reader_id_by_index = {
-            index: planner.reader(index).id for index in version.missing()
+            index: planner.planned_reader(index).id
+            for index in version.missing()
         }
 
     async def run(self) -> None:
-        """Reads until every chunk is known to be held by somebody."""
+        """Reads until each chunk is held here or known to be held."""
         began_at = now_s()
         while not self._version.is_complete:
             index = next(self._due(now_s() - began_at), None)
             if index is None:
-                await asyncio.sleep(_LOOK_EVERY_S)
+                await asyncio.sleep(_POLL_S)
             else:
-                await self._fetcher.from_outside(index)
+                await self._fetcher.read_from_outside(index)
 
     def _due(self, waited_s: float) -> Iterator[int]:
-        suspects = self._suspects.now()
+        suspects = self._suspects.current_ids()
         unread_by_reader: collections.Counter[str] = collections.Counter()
         for index in self._version.missing():
-            if self._version.holdings.is_known(index):
+            if self._version.holdings.is_held_anywhere(index):
                 continue
             reader_id = self._reader_id_by_index[index]
             before = unread_by_reader[reader_id]
             unread_by_reader[reader_id] += 1
-            if index in self._fetcher.arrivals:
+            if index in self._fetcher.transfers:
                 continue
             grace_s = _LATER_GRACE_S if before else _NEXT_GRACE_S
-            turn = self._planner.turn(index, suspects)
-            if waited_s >= grace_s + turn * _TURN_S:
+            rank = self._planner.reader_rank(index, suspects)
+            if waited_s >= grace_s + rank * _TAKEOVER_DELAY_S:
                 yield index
--- a/damaskcroft/weights/_manifest.py
+++ b/damaskcroft/weights/_manifest.py
@@ -1,7 +1,8 @@
-"""Manifests: the whole content of a version, named by its own digest.
+"""Manifests: the content of a version, identified by a digest.
 
-A record names the manifest's SHA-256 (FIPS 180-4); the manifest names every
-chunk's. So whoever holds the record can check every byte, from any source.
+A record names the manifest's SHA-256 (FIPS 180-4), and the manifest names that
+of every chunk. An agent that has the record can therefore verify every byte,
+from any source.
 """
 
 import hashlib
@@ -15,7 +16,7 @@
 
 MANIFEST_NAME = "manifest.pb"
 _DIGEST_BYTES = 32
-# Of a version that is kept as one blob, where manifests name files.
+# File name in the manifest of a version that is stored as one blob.
 _BLOB_NAME = "weights"
 
 
@@ -27,17 +28,17 @@
     version: str,
     chunk_size_bytes: int,
 ) -> bytes:
-    """Reads a model folder and describes it.
+    """Reads a model folder and builds its manifest.
 
     Args:
-        folder: holds the files; an older manifest in it is left out.
+        folder: the folder with the files; a manifest file in it is left out.
         model: the model's name.
         adapter: the adapter's name, or empty.
         version: the version's name.
         chunk_size_bytes: size of every chunk but each file's last.
 
     Returns:
-        The manifest as it is stored; its digest names the version.
+        The manifest as it is stored; its digest identifies the version.
     """
     manifest = records_pb2.Manifest(
         model=model,
@@ -54,18 +55,18 @@
 
 
 def manifest_digest(content: bytes) -> str:
-    """The name of a stored manifest: SHA-256, lower-case hex."""
+    """The digest of a stored manifest: SHA-256, lower-case hex."""
     return hashlib.sha256(content).hexdigest()
 
 
 def load_manifest(content: bytes, digest: str) -> records_pb2.Manifest:
-    """Reads a manifest that must have a given name.
+    """Parses a manifest that must have the given digest.
 
     Raises:
-        ManifestError: it has another name, or describes impossible files.
+        ManifestError: it has another digest, or describes impossible files.
     """
     if manifest_digest(content) != digest:
-        raise ManifestError(f"not the manifest {digest}")
+        raise ManifestError(f"manifest does not have the digest {digest}")
     try:
         manifest = records_pb2.Manifest.FromString(content)
     except DecodeError as error:
@@ -75,7 +76,7 @@
 
 
 def weights_path(model: str, adapter: str, version: str) -> str:
-    """Where the outside sources keep a version, relative to their root."""
+    """Path of a version below the root of the outside sources."""
     name = f"{model}+{adapter}" if adapter else model
     return f"{name}/{version}"
 
@@ -106,11 +107,13 @@
     covered_bytes = [0] * len(manifest.files)
     for chunk in manifest.chunks:
         if chunk.file >= len(manifest.files):
-            raise ManifestError("a chunk names no file")
+            raise ManifestError("chunk refers to a file that is not listed")
         if chunk.offset_bytes != covered_bytes[chunk.file]:
-            raise ManifestError("chunks leave a gap")
+            raise ManifestError("chunks of a file are not contiguous")
         if len(chunk.digest) != _DIGEST_BYTES or not chunk.size_bytes:
-            raise ManifestError("a chunk has no digest or no bytes")
+            raise ManifestError(
+                "chunk without a SHA-256 digest or without bytes"
+            )
         covered_bytes[chunk.file] += chunk.size_bytes
     for file, covered in zip(manifest.files, covered_bytes, strict=True):
         if file.size_bytes != covered:
@@ -120,11 +123,11 @@
 def manifest_of_digests(
     model: str, version: str, chunk_bytes: int, digests: Sequence[bytes]
 ) -> records_pb2.Manifest:
-    """Describes a version that is kept as one blob of equal chunks.
+    """Builds the manifest of a version stored as one blob of equal chunks.
 
     Args:
-        model: its name.
-        version: its version.
+        model: the model's name.
+        version: the version's name.
         chunk_bytes: size of each chunk.
         digests: SHA-256 of each chunk, in order.
     """
--- a/damaskcroft/weights/_named_manifest.py
+++ b/damaskcroft/weights/_manifest_fetcher.py
@@ -1,4 +1,4 @@
-"""Getting a manifest that a record names by its digest."""
+"""Fetches the manifest whose digest a record names."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -13,21 +13,21 @@
 from damaskcroft.weights._suspects import Suspects
 from damaskcroft.weights._unaware import UnawareAgents
 
-__all__ = ["NamedManifest"]
+__all__ = ["ManifestFetcher"]
 
 _PAUSE_S = 0.1
 
 
-class NamedManifest:
-    """Gets one manifest from a peer if it can, else from outside.
+class ManifestFetcher:
+    """Fetches one manifest from a peer if possible, else from outside.
 
     Args:
-        path: where outside sources keep the version.
+        path: the version's path at the outside sources.
         outside: outside sources; the first is preferred.
-        peers: how other agents are asked.
-        parent: whom to ask now; None to read it from outside.
-        suspects: agents that don't answer.
-        wait_s: how long an agent may take to hear of the version.
+        peers: client for other agents.
+        parent: returns the agent to ask now; None to read from outside.
+        suspects: agents that are not asked, because they failed.
+        wait_s: how long an agent may take to learn of the version.
     """
 
     __slots__ = (
@@ -48,7 +48,7 @@
         suspects: Suspects,
         wait_s: float,
     ):
-        """See the class."""
+        """Requests nothing until `fetch` is called."""
         self._path = path
         self._outside = outside
         self._peers = peers
@@ -57,10 +57,10 @@
         self._unaware = UnawareAgents(suspects, path, wait_s, wait_s)
 
     async def fetch(self, digest: str) -> bytes:
-        """Asks until somebody gives it.
+        """Repeats the request until a source returns the manifest.
 
         Raises:
-            ManifestError: the outside source holds another one.
+            ManifestError: the outside source holds another manifest.
         """
         while True:
             parent = self._parent()
@@ -73,7 +73,7 @@
                 content = await self._from_peer(parent, digest)
                 if content is not None:
                     return content
-                self._unaware.note(parent.id)
+                self._unaware.record(parent.id)
             await asyncio.sleep(_PAUSE_S)
 
     async def _from_outside(self) -> bytes | None:
--- a/damaskcroft/weights/_pacer.py
+++ b/damaskcroft/weights/_pacer.py
@@ -1,4 +1,4 @@
-"""Keeps traffic at a link's rate, and lets it yield to live requests."""
+"""Keeps traffic at a link's rate and yields to live requests."""
 
 import asyncio
 
@@ -16,14 +16,14 @@
     __slots__ = ("_next_at", "_rate_bytes_s", "_share")
 
     def __init__(self, rate_bytes_s: float):
-        """Creates a pacer with nothing owed."""
+        """The bucket is full and the share is 1 at first."""
         self._rate_bytes_s = rate_bytes_s
         self._share = 1.0
         self._next_at = 0.0
 
     @property
     def share(self) -> float:
-        """The share of the link now taken, above 0 and at most 1."""
+        """The share of the link that may be used, above 0 and at most 1."""
         return self._share
 
     @share.setter
@@ -31,7 +31,7 @@
         self._share = min(1.0, max(_MIN_SHARE, share))
 
     def bytes_in(self, seconds: float) -> int:
-        """What the link carries in some time, at its full rate."""
+        """Bytes that the link carries in some time at its full rate."""
         return int(self._rate_bytes_s * seconds)
 
     async def pass_bytes(self, size_bytes: int) -> None:
--- a/damaskcroft/weights/_path_delay.py
+++ b/damaskcroft/weights/_path_delay.py
@@ -1,43 +1,43 @@
-"""How long data waits in queues between two machines.
+"""Measures how long data is queued on the path between two machines.
 
-One-way delays, after "Low Extra Delay Background Transport" (LEDBAT, RFC
-6817): the sender stamps what it sends by its own clock, and the receiver
-compares with the least difference seen lately. Clocks need not agree; what
-they differ by is in every difference alike.
+One-way delays, after "Low Extra Delay Background Transport" (LEDBAT, RFC 6817):
+the sender stamps each message with its own clock, and the receiver compares the
+difference to its own clock with the least recent difference. Clocks need not
+agree, because their offset is the same in every difference.
 """
 
 from damaskcroft.clock import now_s
 
 __all__ = ["PathDelay"]
 
-# The least difference is taken over this time and the one before it: long
+# The base delay is the minimum over this time and the period before it: long
 # enough that a queue under control was empty at some moment, short enough to
-# get over a machine whose clock stood still while it was frozen.
+# recover from a sender whose clock stood still while its machine was frozen.
 _BASE_WINDOW_S = 4.0
 
 
 class PathDelay:
-    """Queueing delay of one path, from the stamps of what came over it."""
+    """Queueing delay of one path, from the time stamps of its messages."""
 
-    __slots__ = ("_base_s", "_base_until", "_last_base_s")
+    __slots__ = ("_base_s", "_base_until", "_previous_base_s")
 
     def __init__(self) -> None:
-        """Knows nothing of the path."""
+        """The path has no base delay until the first message."""
         self._base_s = float("inf")
-        self._last_base_s = float("inf")
+        self._previous_base_s = float("inf")
         self._base_until = float("-inf")
 
-    def queued_s(self, sent_at: float) -> float:
-        """How much longer than at best something was on its way.
+    def queueing_delay_s(self, sent_at: float) -> float:
+        """How much longer than the minimum a message was in transit.
 
         Args:
-            sent_at: its sender's clock when it was sent, in seconds.
+            sent_at: the sender's clock when it was sent, in seconds.
         """
         now = now_s()
         difference_s = now - sent_at
         if now >= self._base_until:
-            self._last_base_s = self._base_s
+            self._previous_base_s = self._base_s
             self._base_s = difference_s
             self._base_until = now + _BASE_WINDOW_S
         self._base_s = min(self._base_s, difference_s)
-        return difference_s - min(self._base_s, self._last_base_s)
+        return difference_s - min(self._base_s, self._previous_base_s)
--- a/damaskcroft/weights/_peers.py
+++ b/damaskcroft/weights/_peers.py
@@ -1,4 +1,4 @@
-"""Reading chunks from other agents."""
+"""Reads chunks from other agents."""
 
 import abc
 import asyncio
@@ -9,19 +9,19 @@
 
 from damaskcroft._generated import agent_grpc, agent_pb2
 from damaskcroft.rpc import CALL_ERRORS, ChannelPool
+from damaskcroft.weights._open_requests import OpenRequests
 from damaskcroft.weights._path_delay import PathDelay
-from damaskcroft.weights._questions import OpenQuestions
 from damaskcroft.weights._window import PartWindow
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerData:
-    """A chunk's bytes as they came; not checked yet.
+    """A chunk's bytes as received, not yet verified.
 
     Attributes:
         data: the bytes.
-        held: all that the peer holds, as packed bits; empty if unknown.
-        known: all that it knows anybody to hold, likewise.
+        held: chunks that the peer holds, as packed bits; empty if unknown.
+        known: chunks that any agent holds to the peer's knowledge, likewise.
     """
 
     data: bytes
@@ -31,11 +31,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerNotYet:
-    """The peer answers, but does not hold the chunk yet.
+    """The peer answers but does not hold the chunk yet.
 
     Attributes:
-        held: what it holds, as packed bits; empty if unknown.
-        known: what it knows anybody to hold, likewise.
+        held: chunks that the peer holds, as packed bits; empty if unknown.
+        known: chunks that any agent holds to the peer's knowledge, likewise.
     """
 
     held: bytes = b""
@@ -44,12 +44,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerUnaware:
-    """The peer answers, but takes no part in the version's burst."""
+    """The peer answers but takes no part in the version's burst."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerFailed:
-    """The peer gave nothing: unreachable, or stalled."""
+    """The peer sent nothing: it is unreachable, or stalled."""
 
     reason: str
 
@@ -57,30 +57,30 @@
 PeerOutcome = PeerData | PeerNotYet | PeerUnaware | PeerFailed
 
 
-Transfer = Callable[[], contextlib.AbstractContextManager[bool]]
+TransferGuard = Callable[[], contextlib.AbstractContextManager[bool]]
 
 
 class PeerSource(abc.ABC):
-    """How an agent asks other agents."""
+    """Client for the chunk service of other agents."""
 
     @abc.abstractmethod
     async def fetch_chunk(
         self,
         address: str,
         request: agent_pb2.ChunkRequest,
-        may_leave: Callable[[], bool] = lambda: False,
-        transfer: Transfer = lambda: contextlib.nullcontext(True),
+        should_abandon: Callable[[], bool] = lambda: False,
+        transfer: TransferGuard = lambda: contextlib.nullcontext(True),
         *,
         is_held: bool = False,
     ) -> PeerOutcome:
-        """Asks for a chunk, waiting for it as long as the request says.
+        """Requests a chunk and waits as long as the request allows.
 
         Args:
-            address: whom.
-            request: for what.
-            may_leave: whether a question that waits for its turn should be
-                dropped, since the chunk can be had elsewhere by now.
-            transfer: entered before the chunk's bytes are asked for; tells
+            address: address of the agent.
+            request: the chunk, and how long the agent may wait for it.
+            should_abandon: whether a request that waits at the agent should be
+                dropped, because the chunk is available elsewhere by now.
+            transfer: entered before the chunk's bytes are requested; yields
                 whether they may be.
             is_held: whether the agent is known to hold the chunk.
         """
@@ -89,128 +89,130 @@
     async def fetch_manifest(
         self, address: str, digest: str, path: str = ""
     ) -> PeerData | PeerNotYet | PeerFailed:
-        """Asks for a manifest, by its name or by the version's path."""
+        """Requests a manifest, by its digest or by the version's path."""
 
     @abc.abstractmethod
     async def exchange(
         self, address: str, rumour: agent_pb2.Rumour
     ) -> agent_pb2.Rumour | None:
-        """Tells an agent what is held where, and hears it; None if silent."""
+        """Exchanges holdings with an agent; None if it does not answer."""
 
 
 class GrpcPeerSource(PeerSource):
-    """Agents reached by grpclib.
+    """Client for other agents over grpclib.
 
     Args:
         pool: channels to agents.
-        stall_s: silence after which a peer is given up.
+        stall_s: time without a message after which a request fails.
     """
 
     def __init__(self, pool: ChannelPool, stall_s: float):
-        """Uses channels of `pool`."""
+        """Opens no channel until the first request."""
         self._pool = pool
         self._stall_s = stall_s
         self._window = PartWindow()
-        self._questions = OpenQuestions()
+        self._open_requests = OpenRequests()
         self._delays_by_address: dict[str, PathDelay] = {}
 
     @property
     def quickest_part_s(self) -> float:
-        """What parts take at least to come over this machine's link."""
-        return self._window.quickest_part_s
+        """Shortest recent transfer time of a part over this machine's link."""
+        return self._window.min_transfer_s
 
     @property
     def link_is_quick(self) -> bool:
-        """Whether parts of right now came quickly; False if none came."""
-        return self._window.is_quick
+        """Whether parts arrived fast just now; False if none arrived."""
+        return self._window.is_fast
 
     async def fetch_chunk(
         self,
         address: str,
         request: agent_pb2.ChunkRequest,
-        may_leave: Callable[[], bool] = lambda: False,
-        transfer: Transfer = lambda: contextlib.nullcontext(True),
+        should_abandon: Callable[[], bool] = lambda: False,
+        transfer: TransferGuard = lambda: contextlib.nullcontext(True),
         *,
         is_held: bool = False,
     ) -> PeerOutcome:
-        """See PeerSource."""
+        """Requests a chunk part by part over one stream."""
         try:
             async with (
-                self._chunk_room(is_held),
+                self._chunk_slot(is_held),
                 self._opened(address) as stream,
             ):
-                # A machine that is gone answers no connection attempt either.
+                # A machine that is gone does not answer connection attempts
+                # either.
                 async with asyncio.timeout(self._stall_s):
                     await stream.send_message(
                         agent_pb2.ChunkAsk(request=request)
                     )
-                patience_s = request.wait_ms / 1000 + self._stall_s
-                outcome = await self._take_parts(
-                    stream, patience_s, address, may_leave, transfer
+                timeout_s = request.wait_ms / 1000 + self._stall_s
+                outcome = await self._receive_chunk(
+                    stream, timeout_s, address, should_abandon, transfer
                 )
                 await stream.cancel()
                 return outcome
         except TimeoutError:
-            # The connection may have gone silent for good.
+            # The connection may be dead without having been closed.
             self._pool.drop(address)
             return PeerFailed("stalled")
         except CALL_ERRORS:
             return PeerFailed("unreachable")
 
-    def _chunk_room(
+    def _chunk_slot(
         self, is_held: bool
     ) -> contextlib.AbstractAsyncContextManager[None]:
         if is_held:
-            return self._window.chunk_room()
+            return self._window.chunk_slot()
         return contextlib.nullcontext()
 
     @contextlib.asynccontextmanager
     async def _opened(self, address: str) -> AsyncIterator[Any]:
-        """A stream of questions and answers with an agent."""
+        """Opens a stream of requests and answers with an agent."""
         stub = agent_grpc.ChunksStub(self._pool.channel(address))
         async with stub.GetChunk.open() as stream:
             yield stream
 
-    async def _take_parts(
+    async def _receive_chunk(
         self,
         stream: Any,
-        patience_s: float,
+        timeout_s: float,
         address: str,
-        may_leave: Callable[[], bool],
-        transfer: Transfer,
+        should_abandon: Callable[[], bool],
+        transfer: TransferGuard,
     ) -> PeerOutcome:
-        """Waits until the peer may send, then asks for part after part."""
+        """Waits until the peer is ready, then requests part after part."""
         while True:
-            async with asyncio.timeout(patience_s):
-                with self._questions.waiting(may_leave) as left:
-                    told = await _received(stream, left)
-            if isinstance(told, PeerNotYet):
-                return told
-            if told is None:
+            async with asyncio.timeout(timeout_s):
+                with self._open_requests.track(should_abandon) as abandoned:
+                    answer = await _next_message(stream, abandoned)
+            if isinstance(answer, PeerNotYet):
+                return answer
+            if answer is None:
                 return PeerFailed("ended_early")
-            if told.outcome == agent_pb2.CHUNK_BUSY:
-                patience_s = self._stall_s
+            if answer.outcome == agent_pb2.CHUNK_BUSY:
+                timeout_s = self._stall_s
                 continue
-            if told.outcome == agent_pb2.CHUNK_UNKNOWN_MANIFEST:
+            if answer.outcome == agent_pb2.CHUNK_UNKNOWN_MANIFEST:
                 return PeerUnaware()
-            if told.outcome != agent_pb2.CHUNK_READY:
-                return PeerNotYet(told.held, told.known)
+            if answer.outcome != agent_pb2.CHUNK_READY:
+                return PeerNotYet(answer.held, answer.known)
             with transfer() as may_begin:
                 if not may_begin:
-                    return PeerNotYet(told.held, told.known)
-                return await self._take_ready(stream, told, address)
+                    return PeerNotYet(answer.held, answer.known)
+                return await self._receive_parts(stream, answer, address)
 
-    async def _take_ready(
+    async def _receive_parts(
         self, stream: Any, ready: agent_pb2.ChunkPart, address: str
     ) -> PeerData | PeerFailed:
         data: list[bytes] = []
-        rank = self._window.begin_chunk()
+        rank = self._window.next_rank()
         delay = self._delays_by_address.setdefault(address, PathDelay())
         queued_s = 0.0
         while len(data) < ready.parts:
-            # No more than one part of a chunk at once: whoever waited for
-            # room while holding some would stop the others for good.
-            async with self._window.room(rank, address):
+            # A chunk has no more than one part in flight: if a chunk waited for
+            # a slot while it held others, chunks could block each other for
+            # ever.
+            async with self._window.part_slot(rank, address):
                 ask = agent_pb2.ChunkAsk(
                     next=True, queued_ms=int(queued_s * 1000)
                 )
@@ -219,15 +221,15 @@
                     part = await stream.recv_message()
             if part is None:
                 return PeerFailed("ended_early")
-            queued_s = delay.queued_s(part.sent_us / 1e6)
-            self._window.note(queued_s)
+            queued_s = delay.queueing_delay_s(part.sent_us / 1e6)
+            self._window.record_queueing_delay(queued_s)
             data.append(part.data)
         return PeerData(b"".join(data), ready.held, ready.known)
 
     async def fetch_manifest(
         self, address: str, digest: str, path: str = ""
     ) -> PeerData | PeerNotYet | PeerFailed:
-        """See PeerSource."""
+        """Requests a manifest in one call."""
         stub = agent_grpc.ChunksStub(self._pool.channel(address))
         request = agent_pb2.ManifestRequest(manifest=digest, path=path)
         try:
@@ -241,7 +243,7 @@
     async def exchange(
         self, address: str, rumour: agent_pb2.Rumour
     ) -> agent_pb2.Rumour | None:
-        """See PeerSource."""
+        """Exchanges holdings in one call."""
         stub = agent_grpc.ChunksStub(self._pool.channel(address))
         try:
             return await stub.Exchange(rumour, timeout=self._stall_s)
@@ -249,18 +251,19 @@
             return None
 
 
-async def _received(
-    stream: Any, left: asyncio.Future[None]
+async def _next_message(
+    stream: Any, abandoned: asyncio.Future[None]
 ) -> agent_pb2.ChunkPart | PeerNotYet | None:
-    """The next message; PeerNotYet if the question is left before it."""
+    """Returns the next message; PeerNotYet if the request is abandoned."""
     receiving = asyncio.ensure_future(stream.recv_message())
-    # It may fail at the moment at which nobody waits for it any more.
+    # The task may fail when it is no longer awaited; its exception must be
+    # retrieved even then.
     receiving.add_done_callback(
         lambda done: done.cancelled() or done.exception()
     )
     try:
         await asyncio.wait(
-            {receiving, left}, return_when=asyncio.FIRST_COMPLETED
+            {receiving, abandoned}, return_when=asyncio.FIRST_COMPLETED
         )
         return receiving.result() if receiving.done() else PeerNotYet()
     finally:
--- a/damaskcroft/weights/_planner.py
+++ b/damaskcroft/weights/_planner.py
@@ -1,12 +1,12 @@
-"""Who fetches which chunk from whom.
+"""Planners: determine from which agent each agent fetches a chunk.
 
-Every agent computes the same total order of agents for each chunk, from the
-roster alone, and no messages are needed to agree. In each chunk's tree an
-agent's parent always stands before it in that order, so whatever two agents
-believe of a third, no circle of waiting can form. The first living agent of
-an order reads the chunk from outside.
+Every agent computes the same total order of agents for each chunk from the
+roster alone, so no messages are needed to agree. In each chunk's tree an
+agent's parent always precedes it in that order, so no cycle of agents that wait
+for each other can form, whichever agents each of them suspects. The first agent
+of an order that is not suspected reads the chunk from outside.
 
-The candidates were measured against each other: docs/design/002-burst.md.
+The planners are compared by measurement in docs/design/002-burst.md.
 """
 
 import abc
@@ -15,7 +15,7 @@
 import hashlib
 from collections.abc import Sequence
 
-_BRANCHES = 2
+_TREE_ARITY = 2
 _GOLDEN_SECTION = 0.618034
 
 
@@ -32,12 +32,12 @@
     """Chooses each chunk's source.
 
     Args:
-        own_id: the agent that asks.
-        participants: all agents of the burst, the asking one included.
+        own_id: the agent for which sources are chosen.
+        participants: all agents of the burst, this one included.
     """
 
     def __init__(self, own_id: str, participants: Sequence[Participant]):
-        """Sorts the participants, so that all agents agree on them."""
+        """Sorts the participants, so that all agents use the same order."""
         self.own_id = own_id
         self.participants = sorted(participants, key=lambda p: p.id)
         self.by_id = {p.id: p for p in self.participants}
@@ -47,37 +47,37 @@
     def parent(
         self, chunk_index: int, suspects: frozenset[str]
     ) -> Participant | None:
-        """Whom to ask for a chunk, or None to read it from outside.
+        """The agent to ask for a chunk, or None to read it from outside.
 
         Args:
-            chunk_index: the chunk's place in the manifest.
+            chunk_index: the chunk's index in the manifest.
             suspects: agents that do not answer now.
         """
 
-    def reader(self, chunk_index: int) -> Participant:
-        """Who is to read a chunk from outside while everybody is well."""
+    def planned_reader(self, chunk_index: int) -> Participant:
+        """The agent that reads a chunk from outside if none is suspected."""
         return self.participants[chunk_index % len(self.participants)]
 
-    def turn(self, chunk_index: int, suspects: frozenset[str]) -> int:
-        """After how many others this agent reads a chunk from outside.
+    def reader_rank(self, chunk_index: int, suspects: frozenset[str]) -> int:
+        """How many agents precede this one as readers of a chunk from outside.
 
-        Each chunk begins with another agent, so that the reads of one that
-        fails fall on all others.
+        The order starts at another agent for each chunk, so that the reads of
+        an agent that fails are spread over all others.
         """
-        living = [p.id for p in self.participants if p.id not in suspects]
-        if self.own_id not in living:
-            return len(living)
-        place = living.index(self.own_id)
-        return (place - chunk_index) % len(living)
+        unsuspected = [p.id for p in self.participants if p.id not in suspects]
+        if self.own_id not in unsuspected:
+            return len(unsuspected)
+        place = unsuspected.index(self.own_id)
+        return (place - chunk_index) % len(unsuspected)
 
 
 class OriginPlanner(Planner):
-    """Everyone reads everything from outside: the baseline."""
+    """Every agent reads every chunk from outside: the baseline."""
 
     def parent(
         self, chunk_index: int, suspects: frozenset[str]
     ) -> Participant | None:
-        """See Planner."""
+        """Always reads from outside."""
         return None
 
 
@@ -87,7 +87,7 @@
     def parent(
         self, chunk_index: int, suspects: frozenset[str]
     ) -> Participant | None:
-        """See Planner."""
+        """The nearest agent earlier in the chain that is not suspected."""
         before: Participant | None = None
         for participant in self.participants:
             if participant.id == self.own_id:
@@ -100,12 +100,13 @@
 class TreePlanner(Planner):
     """A binary tree for each chunk: over failure domains, then inside each.
 
-    One agent of a domain takes the chunk across the link between sites; the
-    others take it from inside. Subclasses say in which order agents stand.
+    One agent of a domain fetches the chunk over the link between sites; the
+    other agents fetch it inside the domain. Subclasses define the order of the
+    agents.
     """
 
     def __init__(self, own_id: str, participants: Sequence[Participant]):
-        """See Planner."""
+        """Groups the participants by failure domain."""
         super().__init__(own_id, participants)
         self._members_by_domain: dict[str, list[Participant]] = {}
         for participant in self.participants:
@@ -120,23 +121,25 @@
 
     @abc.abstractmethod
     def order(self, chunk_index: int, names: Sequence[str]) -> Sequence[int]:
-        """In which order `names` stand for a chunk, as places in `names`."""
+        """The order of `names` for a chunk, as indexes into `names`."""
 
-    def reader(self, chunk_index: int) -> Participant:
-        """See Planner."""
+    def planned_reader(self, chunk_index: int) -> Participant:
+        """The first agent of the first domain in the chunk's order."""
         first = self.order(chunk_index, self._domains)[0]
-        return self._living(chunk_index, self._domains[first], frozenset())[0]
+        return self._unsuspected(
+            chunk_index, self._domains[first], frozenset()
+        )[0]
 
     def parent(
         self, chunk_index: int, suspects: frozenset[str]
     ) -> Participant | None:
-        """See Planner."""
-        members = self._living(chunk_index, self._own_domain, suspects)
+        """The parent in the domain's tree, or in the tree over domains."""
+        members = self._unsuspected(chunk_index, self._own_domain, suspects)
         place = next(
             i for i, member in enumerate(members) if member.id == self.own_id
         )
         if place > 0:
-            return members[(place - 1) // _BRANCHES]
+            return members[(place - 1) // _TREE_ARITY]
         return self._parent_outside_domain(chunk_index, suspects)
 
     def _parent_outside_domain(
@@ -145,21 +148,21 @@
         heads: list[Participant] = []
         for position in self.order(chunk_index, self._domains):
             domain = self._domains[position]
-            members = self._living(chunk_index, domain, suspects)
+            members = self._unsuspected(chunk_index, domain, suspects)
             if domain == self._own_domain:
                 break
             if members:
                 heads.append(members[0])
         if not heads:
             return None
-        return heads[(len(heads) - 1) // _BRANCHES]
+        return heads[(len(heads) - 1) // _TREE_ARITY]
 
-    def _living(
+    def _unsuspected(
         self, chunk_index: int, domain: str, suspects: frozenset[str]
     ) -> list[Participant]:
         members = self._members_by_domain[domain]
-        # Domains rotate with every chunk; members with every round of them,
-        # or the two rotations would fall into step.
+        # Domains rotate with every chunk and their members with every round of
+        # domains; otherwise the two rotations would coincide.
         round_index = chunk_index // len(self._domains)
         names = [member.id for member in members]
         return [
@@ -171,14 +174,14 @@
 
 
 class RendezvousPlanner(TreePlanner):
-    """Orders by hash of chunk and name.
+    """Orders agents by a hash of chunk and name (rendezvous hashing).
 
     Source: Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit
     Rates", IEEE/ACM Transactions on Networking 6(1), 1998.
     """
 
     def order(self, chunk_index: int, names: Sequence[str]) -> Sequence[int]:
-        """See TreePlanner."""
+        """Sorts the names by their hash with the chunk's index."""
 
         def weight(place: int) -> bytes:
             text = f"{chunk_index}/{names[place]}".encode()
@@ -188,17 +191,18 @@
 
 
 class LatinPlanner(TreePlanner):
-    """Orders by rows of mutually orthogonal Latin squares.
-
-    Over any q consecutive chunks (q the least prime not below the number of
-    agents) each agent stands at each place equally often, so that uploads are
-    even; from square to square its neighbours change, so that a dead agent's
-    work falls on all others. After "RAID+: Deterministic and Balanced Data
-    Distribution for Large Disk Enclosures" (FAST 2018), section 3.
+    """Orders agents by rows of mutually orthogonal Latin squares.
+
+    Over any q consecutive chunks (q is the least prime not below the number of
+    agents) each agent stands at each position equally often, so that uploads
+    are even. An agent's neighbours change from square to square, so that the
+    work of a dead agent is spread over all others. After "RAID+: Deterministic
+    and Balanced Data Distribution for Large Disk Enclosures" (FAST 2018),
+    section 3.
     """
 
     def order(self, chunk_index: int, names: Sequence[str]) -> Sequence[int]:
-        """See TreePlanner."""
+        """The chunk's row of the Latin squares."""
         return _latin_row(chunk_index, len(names))
 
 
@@ -206,9 +210,9 @@
 def _latin_row(index: int, size: int) -> tuple[int, ...]:
     """Row `index` of a family of squares, L_m(i, j) = m * j + i mod q.
 
-    From row to row an agent's place moves by m's inverse. Near the golden
-    section of q, its places are spread evenly over any run of rows, also a
-    run much shorter than a square (three-distance theorem, Sos 1958).
+    From row to row an agent's position moves by the inverse of m. Near the
+    golden section of q, its positions are spread evenly over any run of rows,
+    also over one much shorter than a square (three-distance theorem, Sos 1958).
     """
     if size <= 1:
         return tuple(range(size))
@@ -243,9 +247,9 @@
     own_id: str,
     participants: Sequence[Participant],
 ) -> Planner:
-    """Creates the planner that settings name.
+    """Creates the planner with the name given in the settings.
 
     Raises:
-        KeyError: there is no planner of that name.
+        KeyError: no planner has that name.
     """
     return _PLANNERS_BY_NAME[name](own_id, participants)
--- a/damaskcroft/weights/_store.py
+++ b/damaskcroft/weights/_store.py
@@ -1,7 +1,9 @@
-"""Chunks of versions, in memory or on disk as the files they will be.
+"""Stores the chunks of versions, in memory or on disk.
 
-A chunk is checked before it is written, and everything is checked again when
-a process starts: what is on disk after a restart is trusted only by digest.
+On disk, chunks are written at their places in the files that the version
+consists of. A chunk is verified before it is written, and everything is
+verified again when a process starts: after a restart the content of the disk is
+trusted only by digest.
 """
 
 import abc
@@ -27,13 +29,13 @@
 
 
 class StagedVersion(abc.ABC):
-    """One version's chunks, complete or on their way."""
+    """One version's chunks, complete or being fetched."""
 
     def __init__(self, digest: str, content: bytes):
-        """Holds nothing yet.
+        """Parses the manifest; no chunk is held at first.
 
         Raises:
-            ManifestError: `content` isn't the manifest `digest`.
+            ManifestError: `content` isn't the manifest with this digest.
         """
         self.digest = digest
         self.content = content
@@ -44,10 +46,10 @@
         self.index_by_digest: dict[bytes, int] = {}
         for index, chunk in enumerate(self.manifest.chunks):
             self.index_by_digest.setdefault(chunk.digest, index)
-        # What other agents hold of it.
+        # Chunks that other agents hold.
         self.holdings = Holdings()
-        self._arrivals: dict[int, asyncio.Event] = {}
-        # Given whenever a chunk has come.
+        self._arrival_events_by_index: dict[int, asyncio.Event] = {}
+        # Signalled whenever a chunk has been stored.
         self.arrived = Signal()
 
     @property
@@ -80,43 +82,45 @@
 
     @property
     def location(self) -> str:
-        """Folder from which a target can load it; empty if there is none."""
+        """Folder from which a target can load the version; empty if none."""
         return ""
 
     @abc.abstractmethod
     def drop(self) -> None:
-        """Frees what the version takes."""
+        """Frees the memory or disk space of the version."""
 
     @abc.abstractmethod
-    def _keep(self, index: int, data: bytes) -> None:
-        """Stores a chunk whose bytes are right."""
+    def _store_data(self, index: int, data: bytes) -> None:
+        """Stores a chunk whose bytes have been verified."""
 
     @abc.abstractmethod
     def _sync(self) -> None:
-        """Makes what is stored last as long as it can."""
+        """Makes the stored chunks as durable as the medium allows."""
 
     def write_chunk(self, index: int, data: bytes) -> bool:
-        """Stores a chunk if its bytes are right.
+        """Stores a chunk if its bytes match its digest.
 
         Returns:
-            Whether they were.
+            Whether they match.
         """
         chunk = self.manifest.chunks[index]
         if hashlib.sha256(data).digest() != chunk.digest:
             return False
         if not self.held[index]:
-            self._keep(index, data)
-            self._mark(index)
+            self._store_data(index, data)
+            self._mark_held(index)
         return True
 
     async def wait_for_chunk(self, index: int, timeout_s: float) -> bool:
-        """Waits until a chunk is held; False when it takes too long."""
+        """Waits until a chunk is held; returns False on time-out."""
         if self.held[index]:
             return True
-        arrival = self._arrivals.setdefault(index, asyncio.Event())
+        arrival_event = self._arrival_events_by_index.setdefault(
+            index, asyncio.Event()
+        )
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
-                await arrival.wait()
+                await arrival_event.wait()
         return bool(self.held[index])
 
     async def wait_until_complete(self) -> None:
@@ -125,52 +129,52 @@
             await self.arrived.next()
 
     def scan(self) -> None:
-        """Finds by digest what the disk already holds."""
+        """Marks the chunks that the disk already holds, found by digest."""
         for index in range(len(self.held)):
             chunk = self.manifest.chunks[index]
             data = self.read_chunk(index)
             if hashlib.sha256(data).digest() == chunk.digest:
-                self._mark(index)
+                self._mark_held(index)
 
     def verify_whole(self) -> bool:
-        """Reads everything back; forgets chunks that are wrong.
+        """Reads all chunks back and drops those that are corrupt.
 
         Returns:
-            Whether the version is whole, and as lasting as it can be.
+            Whether the version is complete and as durable as the medium allows.
         """
         for index, chunk in enumerate(self.manifest.chunks):
             data = self.read_chunk(index)
             if hashlib.sha256(data).digest() != chunk.digest:
-                self._unmark(index)
+                self._mark_missing(index)
         if not self.is_complete:
             return False
         self._sync()
         self.verified = True
         return True
 
-    def _mark(self, index: int) -> None:
+    def _mark_held(self, index: int) -> None:
         if self.held[index]:
             return
         self.held[index] = 1
         self.held_count += 1
-        arrival = self._arrivals.pop(index, None)
-        if arrival is not None:
-            arrival.set()
+        arrival_event = self._arrival_events_by_index.pop(index, None)
+        if arrival_event is not None:
+            arrival_event.set()
         self.arrived.give()
 
-    def _unmark(self, index: int) -> None:
+    def _mark_missing(self, index: int) -> None:
         self.held_count -= self.held[index]
         self.held[index] = 0
 
 
 class FolderVersion(StagedVersion):
-    """A version in the files that it will be served from."""
+    """A version in the files from which it will be served."""
 
     def __init__(self, digest: str, content: bytes, folder: pathlib.Path):
-        """Opens the version in `folder`, which is made if missing.
+        """Opens the version in `folder`, which is created if missing.
 
         Raises:
-            ManifestError: `content` isn't the manifest `digest`.
+            ManifestError: `content` isn't the manifest with this digest.
         """
         super().__init__(digest, content)
         self.folder = folder
@@ -179,20 +183,20 @@
 
     @property
     def location(self) -> str:
-        """See StagedVersion."""
+        """The folder that contains the version's files."""
         return str(self.files_folder)
 
     def read_chunk(self, index: int) -> bytes:
-        """See StagedVersion."""
+        """Reads a chunk's range of its file."""
         chunk = self.manifest.chunks[index]
         with self._path(chunk.file).open("rb") as file:
             return os.pread(file.fileno(), chunk.size_bytes, chunk.offset_bytes)
 
     def drop(self) -> None:
-        """See StagedVersion."""
+        """Deletes the version's folder."""
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    def _keep(self, index: int, data: bytes) -> None:
+    def _store_data(self, index: int, data: bytes) -> None:
         chunk = self.manifest.chunks[index]
         with self._path(chunk.file).open("r+b") as file:
             os.pwrite(file.fileno(), data, chunk.offset_bytes)
@@ -207,9 +211,9 @@
             path.parent.mkdir(parents=True, exist_ok=True)
             with path.open("ab") as handle:
                 handle.truncate(file.size_bytes)
-        beside = self.folder / f"{MANIFEST_NAME}.new"
-        beside.write_bytes(self.content)
-        os.replace(beside, self.folder / MANIFEST_NAME)
+        temporary_path = self.folder / f"{MANIFEST_NAME}.new"
+        temporary_path.write_bytes(self.content)
+        os.replace(temporary_path, self.folder / MANIFEST_NAME)
 
     def _sync(self) -> None:
         for file_index in range(len(self.manifest.files)):
@@ -221,53 +225,53 @@
     """A version in memory, for machines without a disk."""
 
     def __init__(self, digest: str, content: bytes):
-        """Holds nothing yet.
+        """Parses the manifest; no chunk is held at first.
 
         Raises:
-            ManifestError: `content` isn't the manifest `digest`.
+            ManifestError: `content` isn't the manifest with this digest.
         """
         super().__init__(digest, content)
         self._chunks_by_index: dict[int, bytes] = {}
 
     def read_chunk(self, index: int) -> bytes:
-        """See StagedVersion."""
+        """Returns a chunk from memory, or no bytes if it is not held."""
         return self._chunks_by_index.get(index, b"")
 
     def drop(self) -> None:
-        """See StagedVersion."""
+        """Frees all chunks."""
         self._chunks_by_index.clear()
 
-    def _keep(self, index: int, data: bytes) -> None:
+    def _store_data(self, index: int, data: bytes) -> None:
         self._chunks_by_index[index] = data
 
     def _sync(self) -> None:
-        """Memory lasts as long as the process, whatever is done."""
+        """Does nothing: memory lasts as long as the process."""
 
 
 class ChunkStore(abc.ABC):
-    """All versions held, within a byte budget."""
+    """All versions held, within a budget of bytes."""
 
     def __init__(self, budget_bytes: int):
-        """Holds nothing yet."""
+        """No version is held at first."""
         self._budget_bytes = budget_bytes
         self.versions_by_digest: dict[str, StagedVersion] = {}
 
     @abc.abstractmethod
     def _new_version(self, digest: str, content: bytes) -> StagedVersion:
-        """Makes room for one version's chunks."""
+        """Creates an empty version."""
 
     def open_version(
         self, content: bytes, keep_digests: set[str]
     ) -> StagedVersion:
-        """Opens a version for filling; old ones make room for it.
+        """Opens a version to be fetched; drops old versions to make room.
 
         Args:
-            content: its manifest.
+            content: the version's manifest.
             keep_digests: versions that must not be dropped.
 
         Raises:
             ManifestError: the manifest is malformed.
-            StoreFullError: the budget is too small beside what must stay.
+            StoreFullError: the budget is too small beside the versions to keep.
         """
         digest = manifest_digest(content)
         version = self.versions_by_digest.get(digest)
@@ -281,7 +285,7 @@
         return version
 
     def version_at(self, path: str) -> StagedVersion | None:
-        """The version that outside sources keep at `path`, if it is held."""
+        """The held version that outside sources keep at `path`, or None."""
         for version in self.versions_by_digest.values():
             manifest = version.manifest
             if path == weights_path(
@@ -290,8 +294,8 @@
                 return version
         return None
 
-    def local_copy(self, digest: bytes) -> bytes | None:
-        """A chunk's bytes from any version held, or None."""
+    def find_chunk(self, digest: bytes) -> bytes | None:
+        """A chunk's bytes from any held version, or None."""
         for version in self.versions_by_digest.values():
             index = version.index_by_digest.get(digest)
             if index is not None and version.held[index]:
@@ -315,7 +319,8 @@
             self.drop(digest)
         if held_bytes + needed_bytes > self._budget_bytes:
             raise StoreFullError(
-                f"{needed_bytes} bytes don't fit beside {held_bytes}"
+                f"{needed_bytes} bytes do not fit into the budget beside "
+                f"{held_bytes}"
             )
 
     def _droppable(self, keep_digests: set[str]) -> Iterator[str]:
@@ -325,16 +330,16 @@
 
 
 class FolderStore(ChunkStore):
-    """Versions under one folder."""
+    """Versions in subfolders of one folder."""
 
     def __init__(self, folder: pathlib.Path, budget_bytes: int):
-        """Uses `folder`; `open_existing` finds what is in it."""
+        """Creates `folder` if missing; `open_existing` reads what is in it."""
         super().__init__(budget_bytes)
         self._folder = folder
         folder.mkdir(parents=True, exist_ok=True)
 
     def open_existing(self) -> None:
-        """Takes up versions left by an earlier process, checked by digest."""
+        """Opens the versions of an earlier process, verified by digest."""
         for folder in sorted(self._folder.iterdir()):
             manifest_file = folder / MANIFEST_NAME
             if not manifest_file.is_file():
--- a/damaskcroft/weights/_upload_rate.py
+++ b/damaskcroft/weights/_upload_rate.py
@@ -1,8 +1,8 @@
-"""Keeps the queue before the sending machine's link short.
+"""Keeps the queue at the sending machine's link short.
 
-Callers' answers wait in that queue behind weights. Receivers tell how long
-parts were queued on their way; the part of it that all of them see is the
-sender's own queue.
+Answers to callers wait in that queue behind weights. Receivers report how long
+parts were queued on their way; the queueing delay that all receivers see is
+that of the sender's own queue.
 """
 
 from damaskcroft.clock import now_s
@@ -10,50 +10,52 @@
 
 __all__ = ["UploadRate"]
 
-# Queueing that is aimed at: two parts of 18 ms. Callers' pauses and delays are
-# counted in tenths of a second.
-_TARGET_QUEUE_S = 0.04
-# What receivers told within this time is compared: a few parts from each.
-_HEARD_WITHIN_S = 0.15
-# At most so often the rate is cut, since a cut shows only after the queue that
-# is there has drained.
-_CUT_EVERY_S = 0.06
-_CUT = 0.92
-# For each part that was not queued: back to the full rate from half in a
-# second.
-_GROWTH = 0.01
+# Queueing delay that is aimed at: two parts of 18 ms. The pauses and delays
+# that callers notice are tenths of a second.
+_TARGET_QUEUEING_DELAY_S = 0.04
+# Reports of this age are compared: a few parts from each receiver.
+_REPORT_LIFETIME_S = 0.15
+# Minimum time between two decreases of the rate, because a decrease takes
+# effect only after the present queue has drained.
+_MIN_DECREASE_INTERVAL_S = 0.06
+_DECREASE_FACTOR = 0.92
+# Increase for each part that was not queued: from half the rate back to the
+# full rate in a second.
+_INCREASE_SHARE = 0.01
 
 
 class UploadRate:
-    """Sets a pacer's share by what receivers tell.
+    """Sets a pacer's share from the queueing delays that receivers report.
 
     Args:
-        pacer: paces all that this machine sends of weights.
+        pacer: paces all weights that this machine sends.
     """
 
-    __slots__ = ("_cut_at", "_heard_by_receiver", "_pacer")
+    __slots__ = ("_decreased_at", "_pacer", "_reports_by_receiver")
 
     def __init__(self, pacer: Pacer):
-        """See the class."""
+        """No receiver has reported at first."""
         self._pacer = pacer
-        self._cut_at = float("-inf")
-        self._heard_by_receiver: dict[str, tuple[float, float]] = {}
+        self._decreased_at = float("-inf")
+        self._reports_by_receiver: dict[str, tuple[float, float]] = {}
 
     def heard(self, receiver: str, queued_s: float) -> None:
-        """Takes one receiver's word on its last part.
+        """Adjusts the rate to one receiver's report on its last part.
 
         Args:
-            receiver: who tells.
-            queued_s: how much longer than at best that part took.
+            receiver: the receiver that reports.
+            queued_s: how much longer than the minimum the part was in transit.
         """
         now = now_s()
-        self._heard_by_receiver[receiver] = (now, queued_s)
-        for other, (at, _) in list(self._heard_by_receiver.items()):
-            if now - at > _HEARD_WITHIN_S:
-                del self._heard_by_receiver[other]
-        own_s = min(queued for _, queued in self._heard_by_receiver.values())
-        if own_s <= _TARGET_QUEUE_S:
-            self._pacer.share += _GROWTH
-        elif now - self._cut_at >= _CUT_EVERY_S:
-            self._pacer.share *= _CUT
-            self._cut_at = now
+        self._reports_by_receiver[receiver] = (now, queued_s)
+        for other, (reported_at, _) in list(self._reports_by_receiver.items()):
+            if now - reported_at > _REPORT_LIFETIME_S:
+                del self._reports_by_receiver[other]
+        own_queue_s = min(
+            queued for _, queued in self._reports_by_receiver.values()
+        )
+        if own_queue_s <= _TARGET_QUEUEING_DELAY_S:
+            self._pacer.share += _INCREASE_SHARE
+        elif now - self._decreased_at >= _MIN_DECREASE_INTERVAL_S:
+            self._pacer.share *= _DECREASE_FACTOR
+            self._decreased_at = now
--- a/damaskcroft/weights/_window.py
+++ b/damaskcroft/weights/_window.py
@@ -1,8 +1,8 @@
-"""How much may be on its way to this machine at once.
+"""Limits how many chunk parts are in flight to this machine at once.
 
-Weights share the machine's link with callers' requests. What is queued before
-the link delays both, so the window shrinks when parts take long to come and
-grows while they come soon, after "Low Extra Delay Background Transport"
+Weights share the machine's link with callers' requests, and a queue in front of
+the link delays both. The window therefore shrinks when parts are queued for
+long and grows while they are not, after "Low Extra Delay Background Transport"
 (LEDBAT, RFC 6817).
 """
 
@@ -16,205 +16,224 @@
 
 __all__ = ["PartWindow"]
 
-# Queueing on a part's way that the window aims at: three parts before the
-# receiver's link (18 ms each on a link of 3.65 Mbit/s).
-_TARGET_QUEUE_S = 0.06
-# As many as are on their way at most, so that each sender shows among them.
-_LAST_QUEUED = 8
-# What parts took tells of the link for this long, and if so many came: over a
-# narrow link few do, as senders are given up for their silence, and links stay
-# narrow for some seconds.
-_TOLD_FOR_S = 6.0
-_MIN_TOLD = 4
-# Parts of so long ago tell of right now, and on a quick link come this soon: a
-# part takes 18 ms on a link of 3.65 Mbit/s, behind a few others.
-_FRESH_S = 1.0
-_QUICK_S = 0.15
-_MIN_PARTS = 1.0
-# Parts that wait for their turn at their senders count too, and each sender
-# serves three or four receivers: a dozen keep a link full.
-_MAX_PARTS = 12.0
-_FIRST_PARTS = 4.0
-# A sender on a narrow link would else hold all the room with its many chunks.
-_MAX_OF_ONE_SENDER = 3
-# Chunks beyond the window's parts that may be asked for, so that there is
-# always one to go on with: an answer takes a round trip.
+# Queueing delay that the window aims at: three parts queued at the receiver's
+# link (18 ms each on a link of 3.65 Mbit/s).
+_TARGET_QUEUEING_DELAY_S = 0.06
+# Enough samples that every sender with parts in flight is represented.
+_MAX_SAMPLES = 8
+# Transfer times describe the link for this long, provided that there are enough
+# of them. Few parts arrive over a narrow link, because silent senders are given
+# up, and links stay narrow for some seconds.
+_SAMPLE_LIFETIME_S = 6.0
+_MIN_SAMPLES = 4
+# Transfer times of this age describe the present state of the link. On a fast
+# link a part arrives within the second of these times: it takes 18 ms on a link
+# of 3.65 Mbit/s, behind a few others.
+_RECENT_S = 1.0
+_FAST_PART_S = 0.15
+_MIN_WINDOW_PARTS = 1.0
+# Parts queued at their senders count too, and each sender serves three or four
+# receivers: a dozen parts keep a link full.
+_MAX_WINDOW_PARTS = 12.0
+_INITIAL_WINDOW_PARTS = 4.0
+# Without this maximum, a sender on a narrow link would occupy the whole window
+# with its many chunks.
+_MAX_PARTS_PER_SENDER = 3
+# Chunks that may be requested beyond the window's parts, so that one is always
+# ready to continue with: an answer takes a round trip.
 _SPARE_CHUNKS = 1
-_GROWTH = 0.25
-_SHRINKAGE = 0.8
+_INCREASE_PARTS = 0.25
+_DECREASE_FACTOR = 0.8
 
 
 class PartWindow:
-    """Counts parts that were asked for and have not come.
+    """Limits the parts that are requested and have not arrived.
 
-    Chunks get room in the order in which they began to come: one that is
-    whole can be given on, many that are half here can't.
+    Chunks get slots in the order in which their transfer began: a complete
+    chunk can be passed on to other agents, many half-complete ones can't.
     """
 
     __slots__ = (
-        "_asked",
-        "_asked_at",
-        "_begun",
-        "_chunks",
-        "_chunks_waiting",
+        "_admitted_chunks",
+        "_last_rank",
         "_outstanding_by_sender",
-        "_queued",
-        "_took",
-        "_waiting",
+        "_queueing_delays_s",
+        "_request_count",
+        "_requested_at_by_part",
+        "_transfer_times",
+        "_waiting_chunks",
+        "_waiting_parts",
         "limit",
     )
 
     def __init__(self) -> None:
-        """Starts small, with nothing on its way."""
-        self.limit = _FIRST_PARTS
+        """The window is small at first, with nothing in flight."""
+        self.limit = _INITIAL_WINDOW_PARTS
         self._outstanding_by_sender: collections.Counter[str] = (
             collections.Counter()
         )
-        self._begun = 0
-        self._chunks = 0
-        self._chunks_waiting: collections.deque[asyncio.Future[None]] = (
+        self._last_rank = 0
+        self._admitted_chunks = 0
+        self._waiting_chunks: collections.deque[asyncio.Future[None]] = (
             collections.deque()
         )
-        self._queued: collections.deque[float] = collections.deque(
-            maxlen=_LAST_QUEUED
+        self._queueing_delays_s: collections.deque[float] = collections.deque(
+            maxlen=_MAX_SAMPLES
         )
-        self._took: collections.deque[tuple[float, float]] = collections.deque(
-            maxlen=_LAST_QUEUED
+        self._transfer_times: collections.deque[tuple[float, float]] = (
+            collections.deque(maxlen=_MAX_SAMPLES)
         )
-        self._waiting: list[tuple[int, int, str, asyncio.Future[None]]] = []
-        # When parts that have not come were asked for.
-        self._asked_at: dict[object, float] = {}
-        # Between parts of one rank, the one that asked first.
-        self._asked = 0
+        self._waiting_parts: list[
+            tuple[int, int, str, asyncio.Future[None]]
+        ] = []
+        # When the parts that have not arrived were requested.
+        self._requested_at_by_part: dict[object, float] = {}
+        # Orders parts of equal rank by the time of their request.
+        self._request_count = 0
 
     @contextlib.asynccontextmanager
-    async def chunk_room(self) -> AsyncIterator[None]:
-        """Waits until a chunk that is there to be had may be asked for.
+    async def chunk_slot(self) -> AsyncIterator[None]:
+        """Waits until a chunk that is ready at its sender may be requested.
 
-        Chunks that wait here for room of their parts would take the places of
-        others at their senders: behind a narrow link those of a whole region.
+        Chunks that hold an upload slot at their sender while they wait here for
+        part slots would keep other agents out of it; behind a narrow link,
+        those of a whole region.
         """
-        await self._enter_chunk()
+        await self._acquire_chunk_slot()
         try:
             yield
         finally:
-            self._chunks -= 1
+            self._admitted_chunks -= 1
             self._admit_chunks()
 
-    async def _enter_chunk(self) -> None:
+    async def _acquire_chunk_slot(self) -> None:
         admitted = asyncio.get_running_loop().create_future()
-        self._chunks_waiting.append(admitted)
+        self._waiting_chunks.append(admitted)
         self._admit_chunks()
         try:
             await admitted
         except asyncio.CancelledError:
             if admitted.done() and not admitted.cancelled():
-                self._chunks -= 1
+                self._admitted_chunks -= 1
                 self._admit_chunks()
             raise
 
     def _admit_chunks(self) -> None:
-        """Lets in as many as there is room for, in the order they came."""
-        while self._chunks_waiting:
-            if self._chunks >= self.limit + _SPARE_CHUNKS:
+        """Admits waiting chunks in order while slots are free."""
+        while self._waiting_chunks:
+            if self._admitted_chunks >= self.limit + _SPARE_CHUNKS:
                 return
-            admitted = self._chunks_waiting.popleft()
+            admitted = self._waiting_chunks.popleft()
             if not admitted.done():
-                self._chunks += 1
+                self._admitted_chunks += 1
                 admitted.set_result(None)
 
-    def begin_chunk(self) -> int:
-        """The rank of a chunk whose parts will be asked for."""
-        self._begun += 1
-        return self._begun
+    def next_rank(self) -> int:
+        """Returns the rank of a chunk whose parts will be requested."""
+        self._last_rank += 1
+        return self._last_rank
 
     @contextlib.asynccontextmanager
-    async def room(self, rank: int, sender: str) -> AsyncIterator[None]:
-        """Waits until a part may be asked for; the block ends as it comes.
+    async def part_slot(self, rank: int, sender: str) -> AsyncIterator[None]:
+        """Waits for a part's slot; the block ends when the part has arrived.
 
         Args:
-            rank: from `begin_chunk`.
-            sender: who is asked.
+            rank: the chunk's rank, from `next_rank`.
+            sender: the agent that is asked.
         """
-        await self._enter(rank, sender)
-        asked_at = now_s()
+        await self._acquire_part_slot(rank, sender)
+        requested_at = now_s()
         part = object()
-        self._asked_at[part] = asked_at
+        self._requested_at_by_part[part] = requested_at
         try:
             yield
-            self._took.append((now_s(), now_s() - asked_at))
+            self._transfer_times.append((now_s(), now_s() - requested_at))
         finally:
-            del self._asked_at[part]
-            self._leave(sender)
+            del self._requested_at_by_part[part]
+            self._release_part_slot(sender)
 
-    async def _enter(self, rank: int, sender: str) -> None:
+    async def _acquire_part_slot(self, rank: int, sender: str) -> None:
         admitted = asyncio.get_running_loop().create_future()
-        self._asked += 1
-        bisect.insort(self._waiting, (rank, self._asked, sender, admitted))
-        self._admit()
+        self._request_count += 1
+        bisect.insort(
+            self._waiting_parts, (rank, self._request_count, sender, admitted)
+        )
+        self._admit_parts()
         try:
             await admitted
         except asyncio.CancelledError:
             if admitted.done() and not admitted.cancelled():
-                self._leave(sender)
+                self._release_part_slot(sender)
             raise
 
-    def _leave(self, sender: str) -> None:
+    def _release_part_slot(self, sender: str) -> None:
         self._outstanding_by_sender[sender] -= 1
-        self._admit()
+        self._admit_parts()
 
-    def _admit(self) -> None:
-        place = 0
-        while place < len(self._waiting):
+    def _admit_parts(self) -> None:
+        position = 0
+        while position < len(self._waiting_parts):
             if self._outstanding_by_sender.total() >= self.limit:
                 return
-            _, _, sender, admitted = self._waiting[place]
-            if self._outstanding_by_sender[sender] >= _MAX_OF_ONE_SENDER:
-                place += 1
+            _, _, sender, admitted = self._waiting_parts[position]
+            if self._outstanding_by_sender[sender] >= _MAX_PARTS_PER_SENDER:
+                position += 1
                 continue
-            self._waiting.pop(place)
+            self._waiting_parts.pop(position)
             if not admitted.done():
                 self._outstanding_by_sender[sender] += 1
                 admitted.set_result(None)
 
     @property
-    def quickest_part_s(self) -> float:
-        """From asking to arrival, the quickest of the last parts; 0 if idle.
+    def min_transfer_s(self) -> float:
+        """Shortest time from request to arrival among recent parts; 0 if idle.
 
-        Parts come from several senders, so what delays all of them is our own
-        link. Where too few have come to tell, those that were asked for and
-        stay away tell.
+        Parts come from several senders, so a delay common to all of them is due
+        to this machine's own link. If too few parts have arrived, the age of
+        the requests without an answer is used.
         """
-        took = self._took_within(_TOLD_FOR_S)
-        if len(took) >= _MIN_TOLD:
-            return max(min(took), self._silent_s())
-        return self._silent_s()
+        times_s = self._recent_transfer_times_s(_SAMPLE_LIFETIME_S)
+        if len(times_s) >= _MIN_SAMPLES:
+            return max(min(times_s), self._silence_s())
+        return self._silence_s()
 
     @property
-    def is_quick(self) -> bool:
-        """Whether parts of right now came quickly; False if none came."""
-        took = self._took_within(_FRESH_S)
-        return len(took) >= _MIN_TOLD and min(took) < _QUICK_S
-
-    def _took_within(self, last_s: float) -> list[float]:
-        since = now_s() - last_s
-        return [took_s for at, took_s in self._took if at > since]
-
-    def _silent_s(self) -> float:
-        """For how long nothing came while as much as told was awaited."""
-        if len(self._asked_at) < _MIN_TOLD:
+    def is_fast(self) -> bool:
+        """Whether parts arrived fast just now; False if none arrived."""
+        times_s = self._recent_transfer_times_s(_RECENT_S)
+        return len(times_s) >= _MIN_SAMPLES and min(times_s) < _FAST_PART_S
+
+    def _recent_transfer_times_s(self, age_s: float) -> list[float]:
+        since = now_s() - age_s
+        return [
+            transfer_s
+            for arrived_at, transfer_s in self._transfer_times
+            if arrived_at > since
+        ]
+
+    def _silence_s(self) -> float:
+        """Time without an arrival while enough parts were requested."""
+        if len(self._requested_at_by_part) < _MIN_SAMPLES:
             return 0.0
-        last_at = self._took[-1][0] if self._took else float("-inf")
-        return now_s() - max(last_at, min(self._asked_at.values()))
+        last_arrival_at = (
+            self._transfer_times[-1][0]
+            if self._transfer_times
+            else float("-inf")
+        )
+        return now_s() - max(
+            last_arrival_at, min(self._requested_at_by_part.values())
+        )
 
-    def note(self, queued_s: float) -> None:
-        """Takes note of how long a part was queued on its way.
+    def record_queueing_delay(self, queued_s: float) -> None:
+        """Adjusts the window to the queueing delay of one part.
 
-        A queue before our own link delays every part, so the quickest of the
-        last ones tells; a slow sender delays only its own.
+        A queue at this machine's own link delays every part, so the minimum of
+        the last delays shows it; a slow sender delays only its own parts.
         """
-        self._queued.append(queued_s)
-        if min(self._queued) > _TARGET_QUEUE_S:
-            self.limit = max(_MIN_PARTS, self.limit * _SHRINKAGE)
+        self._queueing_delays_s.append(queued_s)
+        if min(self._queueing_delays_s) > _TARGET_QUEUEING_DELAY_S:
+            self.limit = max(_MIN_WINDOW_PARTS, self.limit * _DECREASE_FACTOR)
         else:
-            self.limit = min(_MAX_PARTS, self.limit + _GROWTH / self.limit)
+            self.limit = min(
+                _MAX_WINDOW_PARTS, self.limit + _INCREASE_PARTS / self.limit
+            )
--- a/damaskcroft/weights/tests/test_burst.py
+++ b/damaskcroft/weights/tests/test_burst.py
@@ -1,4 +1,4 @@
-"""A burst between real stores, with fakes for the network."""
+"""Tests of a burst between real stores, with a fake network."""
 
 import asyncio
 import hashlib
@@ -48,7 +48,7 @@
 
 
 class FakeOutside:
-    """Gives chunks of a folder, and counts."""
+    """Serves the chunks of a folder and counts the reads."""
 
     name = "origin"
     closed_for_s = 0.0
@@ -81,14 +81,14 @@
 
 
 class FakePeers:
-    """Stores of other agents; some are dead, frozen or lie."""
+    """The stores of other agents, some dead, frozen, slow or corrupt."""
 
     def __init__(self):
         self.versions_by_id = {}
         self.dead = set()
         self.frozen = set()
         self.slow = set()
-        self.liars = set()
+        self.corrupt = set()
 
     async def exchange(self, address, rumour):
         return None
@@ -110,7 +110,7 @@
         if not await version.wait_for_chunk(index, request.wait_ms / 1000):
             return PeerNotYet(packed(version.held))
         data = version.read_chunk(index)
-        if address in self.liars:
+        if address in self.corrupt:
             data = data[:-1] + bytes([data[-1] ^ 1])
         return PeerData(data, packed(version.held))
 
@@ -119,11 +119,11 @@
 
 
 @pytest.fixture
-def site(tmp_path):
-    return BurstSite(tmp_path)
+def cluster(tmp_path):
+    return BurstCluster(tmp_path)
 
 
-class BurstSite:
+class BurstCluster:
     def __init__(self, folder):
         self.folder = folder
         self.content = write_files(folder / "origin", "1")
@@ -146,8 +146,10 @@
             self.options,
             self.counts[agent_id],
         )
-        people = [Participant(i, i, f"d{int(i[-1]) % 2}") for i in members]
-        burst.plan_with(make_planner("latin", agent_id, people))
+        participants = [
+            Participant(i, i, f"d{int(i[-1]) % 2}") for i in members
+        ]
+        burst.plan_with(make_planner("latin", agent_id, participants))
         return burst
 
     async def run(self, running, members=IDS):
@@ -171,158 +173,158 @@
                 assert copied == (self.folder / "origin" / name).read_bytes()
 
 
-def test_everyone_gets_all_from_one_copy(loop, site):
-    loop.run(site.run(IDS))
-    site.check(IDS)
+def test_all_agents_get_the_version_from_one_origin_copy(loop, cluster):
+    loop.run(cluster.run(IDS))
+    cluster.check(IDS)
     chunks = len(
-        load_manifest(site.content, manifest_digest(site.content)).chunks
+        load_manifest(cluster.content, manifest_digest(cluster.content)).chunks
     )
-    assert site.outside.reads == chunks
+    assert cluster.outside.reads == chunks
 
 
-def test_a_manifest_that_no_other_agent_has_is_read_from_outside(loop, site):
-    """Others may not have heard of the version, and may never hear of it."""
+def test_manifest_unknown_to_peers_is_read_from_outside(loop, cluster):
+    """Other agents may not know the version yet, or may never learn of it."""
 
     async def scenario():
-        digest = manifest_digest(site.content)
+        digest = manifest_digest(cluster.content)
         async with asyncio.timeout(30):
             return await asyncio.gather(
-                *(site.burst(i).fetch_manifest(digest) for i in IDS)
+                *(cluster.burst(i).fetch_manifest(digest) for i in IDS)
             )
 
-    assert set(loop.run(scenario())) == {site.content}
+    assert set(loop.run(scenario())) == {cluster.content}
 
 
-def test_dead_agents_work_falls_on_others(loop, site):
+def test_burst_completes_without_dead_agents(loop, cluster):
     dead = {"agent-2", "agent-5"}
-    site.peers.dead = dead
-    living = [i for i in IDS if i not in dead]
-    loop.run(site.run(living))
-    site.check(living)
+    cluster.peers.dead = dead
+    unaffected = [i for i in IDS if i not in dead]
+    loop.run(cluster.run(unaffected))
+    cluster.check(unaffected)
 
 
-def test_frozen_agent_is_replaced_as_a_source(loop, site):
-    site.peers.frozen = {"agent-1"}
-    living = [i for i in IDS if i != "agent-1"]
-    loop.run(site.run(living))
-    site.check(living)
+def test_burst_completes_with_a_frozen_agent(loop, cluster):
+    cluster.peers.frozen = {"agent-1"}
+    unaffected = [i for i in IDS if i != "agent-1"]
+    loop.run(cluster.run(unaffected))
+    cluster.check(unaffected)
 
 
-def test_a_slow_agents_chunks_are_had_elsewhere(loop, site):
-    """It is up and answers, but takes 8 s for a chunk that others hold."""
-    site.peers.slow = {"agent-1"}
+def test_chunks_of_a_slow_agent_are_fetched_from_others(loop, cluster):
+    """The agent answers, but takes 8 s for a chunk that others hold."""
+    cluster.peers.slow = {"agent-1"}
     others = [i for i in IDS if i != "agent-1"]
 
     async def scenario():
-        await site.run(IDS)
+        await cluster.run(IDS)
         return loop.time()
 
     assert loop.run(scenario()) < 8.0
-    site.check(others)
+    cluster.check(others)
 
 
-def test_corrupt_bytes_are_never_kept_and_their_source_is_left(loop, site):
-    site.outside.corrupt_next = 3
-    site.peers.liars = {"agent-3"}
-    loop.run(site.run(IDS))
-    site.check(IDS)
-    assert sum(c.corrupt_chunks for c in site.counts.values()) >= 4
-    # Each agent took wrong bytes from the liar only until it was suspected.
-    for counts in site.counts.values():
+def test_corrupt_chunks_are_not_stored_and_their_source_is_suspected(
+    loop, cluster
+):
+    cluster.outside.corrupt_next = 3
+    cluster.peers.corrupt = {"agent-3"}
+    loop.run(cluster.run(IDS))
+    cluster.check(IDS)
+    assert sum(c.corrupt_chunks for c in cluster.counts.values()) >= 4
+    # Each agent accepts corrupt bytes from agent-3 only until it suspects it.
+    for counts in cluster.counts.values():
         assert counts.corrupt_chunks <= 3 + BurstOptions().parallel_fetches
 
 
-def test_refusals_from_outside_are_waited_out(loop, site):
-    site.outside.fail_next = 20
-    loop.run(site.run(IDS))
-    site.check(IDS)
+def test_burst_completes_after_refusals_from_outside(loop, cluster):
+    cluster.outside.fail_next = 20
+    loop.run(cluster.run(IDS))
+    cluster.check(IDS)
 
 
-def test_restart_resumes_from_checked_chunks(loop, site):
-    loop.run(site.run(["agent-0"], members=["agent-0"]))
-    digest = manifest_digest(site.content)
-    version = site.stores["agent-0"].versions_by_digest[digest]
+def test_restart_fetches_only_missing_and_corrupt_chunks(loop, cluster):
+    loop.run(cluster.run(["agent-0"], members=["agent-0"]))
+    digest = manifest_digest(cluster.content)
+    version = cluster.stores["agent-0"].versions_by_digest[digest]
     path = version.files_folder / "0.bin"
     content = bytearray(path.read_bytes())
     content[1500] ^= 1
     path.write_bytes(content)
-    reopened = FolderStore(site.folder / "agent-0", 10**9)
+    reopened = FolderStore(cluster.folder / "agent-0", 10**9)
     reopened.open_existing()
-    site.stores["agent-0"] = reopened
+    cluster.stores["agent-0"] = reopened
     again = reopened.versions_by_digest[digest]
     assert len(again.held) - again.held_count == 1
-    before = site.outside.reads
-    loop.run(site.run(["agent-0"], members=["agent-0"]))
-    assert site.outside.reads == before + 1
-    site.check(["agent-0"])
+    before = cluster.outside.reads
+    loop.run(cluster.run(["agent-0"], members=["agent-0"]))
+    assert cluster.outside.reads == before + 1
+    cluster.check(["agent-0"])
 
 
-def test_new_version_fetches_only_what_it_lacks(loop, site):
-    loop.run(site.run(["agent-0"], members=["agent-0"]))
-    newer = site.folder / "newer"
+def test_new_version_fetches_only_changed_chunks(loop, cluster):
+    loop.run(cluster.run(["agent-0"], members=["agent-0"]))
+    newer = cluster.folder / "newer"
     newer.mkdir()
-    for path in (site.folder / "origin").iterdir():
+    for path in (cluster.folder / "origin").iterdir():
         (newer / path.name).write_bytes(path.read_bytes())
     (newer / "config.json").write_text("{}")
-    site.content = build_manifest(
+    cluster.content = build_manifest(
         newer, model="m", adapter="", version="2", chunk_size_bytes=CHUNK_BYTES
     )
-    site.outside = FakeOutside(newer, site.content)
-    loop.run(site.run(["agent-0"], members=["agent-0"]))
-    assert site.outside.reads == 1
+    cluster.outside = FakeOutside(newer, cluster.content)
+    loop.run(cluster.run(["agent-0"], members=["agent-0"]))
+    assert cluster.outside.reads == 1
 
 
-def test_old_versions_make_room_but_never_one_that_serves(site):
-    store = site.stores["agent-0"]
-    first = store.open_version(site.content, set())
-    small = FolderStore(site.folder / "agent-0", first.size_bytes + 500)
+def test_old_versions_are_dropped_for_room_unless_they_must_be_kept(cluster):
+    store = cluster.stores["agent-0"]
+    first = store.open_version(cluster.content, set())
+    small = FolderStore(cluster.folder / "agent-0", first.size_bytes + 500)
     small.open_existing()
-    other = write_files(site.folder / "other", "2")
+    other = write_files(cluster.folder / "other", "2")
     with pytest.raises(StoreFullError):
         small.open_version(other, {first.digest})
     small.open_version(other, set())
     assert first.digest not in small.versions_by_digest
 
 
-def test_manifest_that_leaves_its_folder_is_refused(site):
-    manifest = load_manifest(site.content, manifest_digest(site.content))
+def test_manifest_with_path_outside_its_folder_is_rejected(cluster):
+    manifest = load_manifest(cluster.content, manifest_digest(cluster.content))
     manifest.files[0].path = "../../etc/passwd"
     content = manifest.SerializeToString()
     with pytest.raises(ManifestError):
         load_manifest(content, manifest_digest(content))
     with pytest.raises(ManifestError):
-        load_manifest(content, manifest_digest(site.content))
+        load_manifest(content, manifest_digest(cluster.content))
 
 
-def test_an_agent_that_knows_nothing_of_a_version_holds_nobody_up(loop, site):
-    """It stands in every tree, but hears of the version late or never."""
+def test_agent_that_does_not_know_the_version_delays_no_other(loop, cluster):
+    """The agent is part of every tree, but never learns of the version."""
     others = [i for i in IDS if i != "agent-1"]
 
     async def scenario():
-        begun = loop.time()
-        await site.run(others)
-        return loop.time() - begun
+        started_at = loop.time()
+        await cluster.run(others)
+        return loop.time() - started_at
 
     assert loop.run(scenario()) < 2.0
-    site.check(others)
+    cluster.check(others)
 
 
-def test_chunks_that_only_a_slow_agent_was_to_read_are_read_by_another(
-    loop, site
-):
-    """Its link carries a chunk in 8 s, also from outside."""
-    site.options = BurstOptions(wait_s=1.0, in_step=False)
-    site.peers.slow = {"agent-1"}
+def test_chunks_assigned_to_a_slow_reader_are_read_by_another(loop, cluster):
+    """The slow agent's link takes 8 s for a chunk, also from outside."""
+    cluster.options = BurstOptions(wait_s=1.0, in_step=False)
+    cluster.peers.slow = {"agent-1"}
     others = [i for i in IDS if i != "agent-1"]
-    version = site.stores["agent-1"].open_version(site.content, set())
-    site.peers.versions_by_id["agent-1"] = version
+    version = cluster.stores["agent-1"].open_version(cluster.content, set())
+    cluster.peers.versions_by_id["agent-1"] = version
 
     async def scenario():
-        begun = loop.time()
-        await site.run(others)
-        return loop.time() - begun
+        started_at = loop.time()
+        await cluster.run(others)
+        return loop.time() - started_at
 
     assert loop.run(scenario()) < 3.0
-    site.check(others)
+    cluster.check(others)
     chunks = len(version.held)
-    assert site.outside.reads < 1.5 * chunks
+    assert cluster.outside.reads < 1.5 * chunks
--- a/damaskcroft/weights/tests/test_outside.py
+++ b/damaskcroft/weights/tests/test_outside.py
@@ -1,4 +1,4 @@
-"""How an outside source is read."""
+"""Tests of reads from an outside source."""
 
 import asyncio
 import contextlib
@@ -9,7 +9,7 @@
 
 @contextlib.asynccontextmanager
 async def origin():
-    """Answers all that is asked; yields its address and open connections."""
+    """Answers every request; yields its address and its open connections."""
     open_connections = set()
 
     async def serve(reader, writer):
@@ -32,16 +32,18 @@
         server.close()
 
 
-def test_nothing_stays_open_at_the_origin_between_two_reads():
-    """After all machines had gone at once the origin took nobody any more.
+def test_no_idle_connection_is_kept_open_to_the_origin():
+    """Idle connections of agents must not exhaust those of the origin.
 
-    Weights had come to 23 targets just before, and each agent had kept some
-    connections open to the origin, which takes 48 over all and went on counting
-    them. Every agent that started anew knew which version to bring, all chunks
-    lay beside its target, and for 23 s it could not read the manifest; no model
-    served. Evidence: `manifest_failed reason=unreachable` some 40 times a
-    second from five agents, from their start on, and 8,188 connections reset
-    for being too many; 28 where none is kept open.
+    The origin accepts 48 connections in total and kept counting those of
+    machines that were lost. All machines were lost at once, just after 23
+    targets had fetched weights and while each agent kept some connections open
+    to the origin. Each restarted agent knew which version to load and had all
+    chunks beside its target, but could not read the manifest for 23 s, and no
+    model was served. The logs showed
+    `manifest_failed reason=unreachable` some 40 times a second from five
+    agents, from their start on, and 8,188 connections reset for exceeding the
+    maximum; there are 28 resets if no connection is kept open.
     """
 
     async def scenario():
--- a/damaskcroft/weights/tests/test_planner.py
+++ b/damaskcroft/weights/tests/test_planner.py
@@ -53,14 +53,14 @@
 
 
 @pytest.mark.parametrize("name", ["chain", "rendezvous", "latin"])
-def test_one_reader_from_outside_for_each_chunk(name):
+def test_each_chunk_has_one_outside_reader(name):
     members = participants(20, 3)
     for index in range(CHUNKS):
         found = parents(name, members, index)
         assert sum(parent is None for parent in found.values()) == 1
 
 
-def test_fewest_crossings_between_failure_domains():
+def test_chunks_cross_between_failure_domains_as_rarely_as_possible():
     members = participants(30, 3)
     domain_by_id = {m.id: m.failure_domain for m in members}
     for index in range(CHUNKS):
@@ -73,7 +73,7 @@
 
 
 def test_uploads_are_even_over_few_chunks():
-    """Within a tenth of one copy, where hashing goes well beyond."""
+    """Latin squares keep uploads within 1.15 copies; hashing does not."""
     members = participants(30, 3)
     worst = {}
     for name in ("latin", "rendezvous"):
--- a/damaskcroft/weights/tests/test_upload_rate.py
+++ b/damaskcroft/weights/tests/test_upload_rate.py
@@ -1,4 +1,4 @@
-"""How senders notice the queue before their own link."""
+"""Tests of the upload rate, which keeps the sender's own queue short."""
 
 import asyncio
 
@@ -9,68 +9,70 @@
 PART_BYTES = 8192
 
 
-def test_queueing_is_what_comes_on_top_of_the_least(loop):
+def test_queueing_delay_is_the_excess_over_the_minimum(loop):
     async def scenario():
         delay = PathDelay()
         # The sender's clock is half an hour ahead.
         ahead_s = 1800.0
         queued = []
-        for on_its_way_s in (0.02, 0.05, 0.12, 0.02):
+        for transit_s in (0.02, 0.05, 0.12, 0.02):
             sent_at = loop.time() + ahead_s
-            await asyncio.sleep(on_its_way_s)
-            queued.append(round(delay.queued_s(sent_at), 6))
+            await asyncio.sleep(transit_s)
+            queued.append(round(delay.queueing_delay_s(sent_at), 6))
         assert queued == [0.0, 0.03, 0.1, 0.0]
 
     loop.run(scenario())
 
 
-def test_a_senders_clock_that_stood_still_is_got_over(loop):
+def test_path_delay_recovers_after_the_senders_clock_stood_still(loop):
     async def scenario():
         delay = PathDelay()
-        delay.queued_s(loop.time())
+        delay.queueing_delay_s(loop.time())
         for _ in range(90):
             await asyncio.sleep(0.1)
-            # Frozen for three seconds, its clock did not run.
-            queued_s = delay.queued_s(loop.time() - 3.0)
+            # The clock stood still while the sender was frozen for 3 s.
+            queued_s = delay.queueing_delay_s(loop.time() - 3.0)
         assert queued_s < 1e-6
 
     loop.run(scenario())
 
 
-def play(loop, live_bytes_s, seconds):
-    """A link that live answers share; gives the bytes sent, and the queues."""
+def simulate_link(loop, live_bytes_s, seconds):
+    """Shares a link with live answers; returns bytes sent and queues."""
 
     async def scenario():
         pacer = Pacer(LINK_BYTES_S)
         rate = UploadRate(pacer)
         free_at = loop.time()
-        sent, queues = 0, []
-        end = loop.time() + seconds
-        last = loop.time()
-        while loop.time() < end:
+        sent, queues_s = 0, []
+        end_at = loop.time() + seconds
+        last_at = loop.time()
+        while loop.time() < end_at:
             await pacer.pass_bytes(PART_BYTES)
             now = loop.time()
-            live = live_bytes_s * (now - last)
-            last = now
-            free_at = max(free_at, now) + (PART_BYTES + live) / LINK_BYTES_S
+            live_bytes = live_bytes_s * (now - last_at)
+            last_at = now
+            free_at = (
+                max(free_at, now) + (PART_BYTES + live_bytes) / LINK_BYTES_S
+            )
             sent += PART_BYTES
-            queues.append(free_at - now)
+            queues_s.append(free_at - now)
             loop.call_later(free_at - now, rate.heard, "r", free_at - now)
-        return sent, queues
+        return sent, queues_s
 
     return loop.run(scenario())
 
 
-def test_live_answers_wait_behind_a_few_parts_only(loop):
-    """Answers take a fifth of the link for eight seconds."""
-    sent, queues = play(loop, 0.2 * LINK_BYTES_S, 8)
-    settled = queues[len(queues) // 4 :]
-    assert sum(settled) / len(settled) < 0.06
-    assert max(settled) < 0.12
+def test_live_answers_wait_behind_few_parts(loop):
+    """Live answers use a fifth of the link for eight seconds."""
+    sent, queues_s = simulate_link(loop, 0.2 * LINK_BYTES_S, 8)
+    steady_queues_s = queues_s[len(queues_s) // 4 :]
+    assert sum(steady_queues_s) / len(steady_queues_s) < 0.06
+    assert max(steady_queues_s) < 0.12
     assert sent > 0.7 * 0.8 * LINK_BYTES_S * 8
 
 
-def test_a_receiver_behind_a_narrow_link_slows_nobody_else(loop):
+def test_receiver_behind_a_narrow_link_does_not_reduce_the_rate(loop):
     async def scenario():
         pacer = Pacer(LINK_BYTES_S)
         rate = UploadRate(pacer)
