--- a/damaskcroft/config/__init__.py
+++ b/damaskcroft/config/__init__.py
@@ -1,7 +1,7 @@
-"""Typed, validated settings read from INI files."""
+"""Loads typed and validated settings from INI files."""
 
 from damaskcroft.config._loader import (
-    Fault,
+    SettingsFault,
     SettingsFaults,
     load_settings,
     settings_reference,
@@ -9,7 +9,7 @@
 from damaskcroft.config._program import settings_or_exit
 
 __all__ = [
-    "Fault",
+    "SettingsFault",
     "SettingsFaults",
     "load_settings",
     "settings_or_exit",
--- a/damaskcroft/config/_loader.py
+++ b/damaskcroft/config/_loader.py
@@ -1,7 +1,8 @@
-"""Turns an INI file into the settings message that the schema declares.
+"""Loads an INI file into the settings message that the schema declares.
 
-The schema (proto/.../settings.proto) holds each key's meaning, unit, bounds
-and default; this module only applies it, and finds every fault at once.
+The schema (proto/.../settings.proto) states the meaning, unit, bounds and
+default of each key. This module applies it and reports all faults of a file
+together.
 """
 
 import configparser
@@ -19,18 +20,18 @@
 
 _SettingsT = TypeVar("_SettingsT", bound=Message)
 
-_BOOLEANS_BY_WORD = {"yes": True, "true": True, "no": False, "false": False}
+_BOOLEANS_BY_TEXT = {"yes": True, "true": True, "no": False, "false": False}
 _MAX_PORT = 65535
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Fault:
-    """One thing wrong with a settings file.
+class SettingsFault:
+    """One fault in a settings file.
 
     Attributes:
-        section: the INI section at fault, empty for the file itself.
-        key: the key at fault, empty for the section itself.
-        reason: what is wrong, for a person.
+        section: INI section with the fault; empty for the file itself.
+        key: key with the fault; empty for the section itself.
+        reason: description of the fault for operators.
     """
 
     section: str
@@ -38,7 +39,7 @@
     reason: str
 
     def __str__(self) -> str:
-        """The fault on one line, with section and key."""
+        """Returns the fault on one line, with section and key."""
         if not self.section:
             return self.reason
         if not self.key:
@@ -48,14 +49,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettingsFaults:
-    """Everything wrong with a settings file; nothing may be started."""
+    """All faults of a settings file; the program must not start with it."""
 
-    faults: tuple[Fault, ...]
+    faults: tuple[SettingsFault, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _BadValueError(Exception):
-    """A single value that the schema does not admit."""
+class _InvalidValueError(Exception):
+    """A single value that the schema does not allow."""
 
     reason: str
 
@@ -63,36 +64,36 @@
 def load_settings(
     path: pathlib.Path, kind: type[_SettingsT]
 ) -> _SettingsT | SettingsFaults:
-    """Reads and checks the INI file at `path`.
+    """Loads and validates the INI file at `path`.
 
     Args:
         path: the settings file.
-        kind: the settings message of the program.
+        kind: type of the program's settings message.
 
     Returns:
-        The filled message, or all the faults found.
+        The filled message, or all faults of the file.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, configparser.Error) as error:
-        return SettingsFaults((Fault("", "", f"{path}: {error}"),))
+        return SettingsFaults((SettingsFault("", "", f"{path}: {error}"),))
     settings = kind()
-    faults = list(_unknown_names(parser, kind.DESCRIPTOR))
+    faults = list(_find_unknown_names(parser, kind.DESCRIPTOR))
     for section in _fields(kind.DESCRIPTOR):
         values = {}
         if parser.has_section(section.name):
             values = dict(parser.items(section.name))
-        target = getattr(settings, section.name)
-        target.SetInParent()
-        faults += _fill(target, section.name, values)
+        message = getattr(settings, section.name)
+        message.SetInParent()
+        faults += _fill_section(message, section.name, values)
     if faults:
         return SettingsFaults(tuple(faults))
     return settings
 
 
 def settings_reference(kind: type[Message]) -> str:
-    """A commented INI file with every key of `kind`, for operators."""
+    """Returns a commented INI file with every key of `kind`, for operators."""
     lines = []
     for section in _fields(kind.DESCRIPTOR):
         lines.append(f"[{section.name}]")
@@ -103,7 +104,7 @@
 
 
 def _reference_lines(field: Any) -> list[str]:
-    rule = _rule(field)
+    rule = _field_rule(field)
     notes = [rule.meaning]
     if rule.unit:
         notes.append(f"unit: {rule.unit}")
@@ -117,68 +118,70 @@
 
 
 def _fields(descriptor: Any) -> Any:
-    # The stubs of the two protobuf back ends disagree on these types.
+    # The type stubs of the two protobuf back ends differ here.
     return descriptor.fields
 
 
-def _rule(field: Any) -> Any:
+def _field_rule(field: Any) -> Any:
     extension: Any = settings_pb2.rule
     return field.GetOptions().Extensions[extension]
 
 
-def _unknown_names(
+def _find_unknown_names(
     parser: configparser.ConfigParser, descriptor: Any
-) -> Iterator[Fault]:
+) -> Iterator[SettingsFault]:
     sections_by_name = descriptor.fields_by_name
     for section in parser.sections():
         if section not in sections_by_name:
-            near = _near(section, list(sections_by_name))
-            yield Fault(section, "", f"unknown section{near}")
+            suggestion = _format_suggestion(section, list(sections_by_name))
+            yield SettingsFault(section, "", f"unknown section{suggestion}")
             continue
         keys_by_name = sections_by_name[section].message_type.fields_by_name
         for key in parser.options(section):
             if key not in keys_by_name:
-                near = _near(key, list(keys_by_name))
-                yield Fault(section, key, f"unknown key{near}")
+                suggestion = _format_suggestion(key, list(keys_by_name))
+                yield SettingsFault(section, key, f"unknown key{suggestion}")
 
 
-def _near(name: str, known: list[str]) -> str:
-    matches = difflib.get_close_matches(name, known, n=1)
+def _format_suggestion(name: str, candidates: list[str]) -> str:
+    matches = difflib.get_close_matches(name, candidates, n=1)
     return f" (did you mean {matches[0]}?)" if matches else ""
 
 
-def _fill(
-    target: Message, section: str, values: dict[str, str]
-) -> Iterator[Fault]:
-    for field in target.DESCRIPTOR.fields:
-        rule = _rule(field)
+def _fill_section(
+    message: Message, section: str, values: dict[str, str]
+) -> Iterator[SettingsFault]:
+    for field in message.DESCRIPTOR.fields:
+        rule = _field_rule(field)
         text = values.get(field.name, rule.default).strip()
         if not text:
             if rule.required:
-                yield Fault(section, field.name, f"missing: {rule.meaning}")
+                yield SettingsFault(
+                    section, field.name, f"missing: {rule.meaning}"
+                )
             continue
         try:
-            _set(target, field, rule, text)
-        except _BadValueError as bad:
-            yield Fault(section, field.name, bad.reason)
+            _set_field(message, field, rule, text)
+        except _InvalidValueError as error:
+            yield SettingsFault(section, field.name, error.reason)
 
 
-def _set(target: Message, field: Any, rule: Any, text: str) -> None:
+def _set_field(message: Message, field: Any, rule: Any, text: str) -> None:
     if field.is_repeated:
         parts = [part.strip() for part in text.split(",") if part.strip()]
-        values = [_parse(field, rule, part) for part in parts]
-        getattr(target, field.name).extend(values)
+        values = [_parse_value(field, rule, part) for part in parts]
+        getattr(message, field.name).extend(values)
         return
-    setattr(target, field.name, _parse(field, rule, text))
+    setattr(message, field.name, _parse_value(field, rule, text))
 
 
-def _parse(field: Any, rule: Any, text: str) -> Any:
+def _parse_value(field: Any, rule: Any, text: str) -> Any:
     if rule.address:
         return _parse_address(text)
     if field.type == FieldDescriptor.TYPE_BOOL:
-        if text.lower() not in _BOOLEANS_BY_WORD:
-            raise _BadValueError(f"{text!r} is neither yes nor no")
-        return _BOOLEANS_BY_WORD[text.lower()]
+        if text.lower() not in _BOOLEANS_BY_TEXT:
+            raise _InvalidValueError(f"{text!r} is neither yes nor no")
+        return _BOOLEANS_BY_TEXT[text.lower()]
     if field.type == FieldDescriptor.TYPE_STRING:
         return text
     return _parse_number(field, rule, text)
@@ -189,9 +192,11 @@
     try:
         ipaddress.ip_address(host.strip("[]"))
     except ValueError:
-        raise _BadValueError(f"{text!r} is not an IP number and port") from None
+        raise _InvalidValueError(
+            f"{text!r} is not an IP number and port"
+        ) from None
     if not port.isdecimal() or not 0 < int(port) <= _MAX_PORT:
-        raise _BadValueError(f"{text!r} has no valid port")
+        raise _InvalidValueError(f"{text!r} has no valid port")
     return text
 
 
@@ -201,13 +206,15 @@
         number = convert(text)
     except ValueError:
         unit = f" in {rule.unit}" if rule.unit else ""
-        raise _BadValueError(f"{text!r} is not a plain number{unit}") from None
+        raise _InvalidValueError(
+            f"{text!r} is not a plain number{unit}"
+        ) from None
     if rule.HasField("min") and number < rule.min:
-        raise _BadValueError(
+        raise _InvalidValueError(
             f"{text} is below {rule.min:g} {rule.unit}".rstrip()
         )
     if rule.HasField("max") and number > rule.max:
-        raise _BadValueError(
+        raise _InvalidValueError(
             f"{text} is above {rule.max:g} {rule.unit}".rstrip()
         )
     return number
--- a/damaskcroft/config/_program.py
+++ b/damaskcroft/config/_program.py
@@ -1,4 +1,4 @@
-"""What every daemon does with its settings file before it starts."""
+"""Loads a program's settings, or ends the process with a status."""
 
 import pathlib
 import sys
@@ -13,7 +13,7 @@
 )
 
 _SettingsT = TypeVar("_SettingsT", bound=Message)
-_EXIT_BAD_SETTINGS = 2
+_EXIT_INVALID_SETTINGS = 2
 
 
 def settings_or_exit(
@@ -23,28 +23,29 @@
     check: bool,
     reference: bool,
 ) -> _SettingsT:
-    """Loads settings, or ends the process as the flags and faults ask.
+    """Returns the settings; exits on faults, `check` or `reference`.
 
     Args:
-        path: the settings file.
-        kind: the settings message of the program.
-        check: only check the file.
-        reference: only print every key with meaning, unit and default.
+        path: the settings file; None if the caller gave none.
+        kind: type of the program's settings message.
+        check: only validate the file.
+        reference: only print all keys with meaning, unit and default.
 
     Raises:
-        SystemExit: 2 with all faults on standard error; 0 after a check.
+        SystemExit: status 2 after printing all faults to standard error;
+            status 0 after `check` or `reference`.
     """
     if reference:
         print(settings_reference(kind))
         raise SystemExit(0)
     if path is None:
         print("a settings file is needed", file=sys.stderr)
-        raise SystemExit(_EXIT_BAD_SETTINGS)
+        raise SystemExit(_EXIT_INVALID_SETTINGS)
     settings = load_settings(path, kind)
     if isinstance(settings, SettingsFaults):
         for fault in settings.faults:
             print(fault, file=sys.stderr)
-        raise SystemExit(_EXIT_BAD_SETTINGS)
+        raise SystemExit(_EXIT_INVALID_SETTINGS)
     if check:
         print(f"{path}: settings are valid")
         raise SystemExit(0)
--- a/damaskcroft/config/tests/test_loader.py
+++ b/damaskcroft/config/tests/test_loader.py
@@ -1,3 +1,5 @@
+"""Loading and validation of settings files."""
+
 import pathlib
 
 import pytest
@@ -45,15 +47,15 @@
     assert settings.keys.open
 
 
-def test_all_faults_are_named_at_once(write):
+def test_all_faults_are_reported_together(write):
     text = VALID.replace("127.0.0.1:7001", "localhost:7001")
     text = text.replace("name = entry-1", "nam = entry-1")
     text += "[admission]\nreserved_share = 2\ndefault_deadline_s = 3s\n"
     text += "[wings]\n"
-    found = load_settings(write(text), settings_pb2.EntrySettings)
-    assert isinstance(found, SettingsFaults)
-    places = {(fault.section, fault.key) for fault in found.faults}
-    assert places == {
+    result = load_settings(write(text), settings_pb2.EntrySettings)
+    assert isinstance(result, SettingsFaults)
+    locations = {(fault.section, fault.key) for fault in result.faults}
+    assert locations == {
         ("process", "listen"),
         ("process", "name"),
         ("process", "nam"),
@@ -63,13 +65,13 @@
     }
 
 
-def test_faults_end_the_program_with_status_2(write, capsys):
+def test_invalid_settings_exit_with_status_2(write, capsys):
     path = write("[process]\n")
-    with pytest.raises(SystemExit) as ended:
+    with pytest.raises(SystemExit) as exit_info:
         settings_or_exit(
             path, settings_pb2.EntrySettings, check=False, reference=False
         )
-    assert ended.value.code == 2
+    assert exit_info.value.code == 2
     assert "[process] name: missing" in capsys.readouterr().err
 
 
@@ -82,7 +84,7 @@
         settings_pb2.OperatorSettings,
     ],
 )
-def test_reference_names_every_key(kind):
+def test_reference_lists_every_key(kind):
     text = settings_reference(kind)
     for section in kind.DESCRIPTOR.fields:
         assert f"[{section.name}]" in text
