--- a/damaskcroft/observe/__init__.py
+++ b/damaskcroft/observe/__init__.py
@@ -1,4 +1,4 @@
-"""Logs and metrics: what operators watch."""
+"""Logs and metrics for operators."""
 
 from damaskcroft.observe import metrics
 from damaskcroft.observe._logs import (
--- a/damaskcroft/observe/_budget.py
+++ b/damaskcroft/observe/_budget.py
@@ -1,7 +1,8 @@
-"""Bounds how many lines of one event are written in a second.
+"""Limits how many log lines of one event are written per second.
 
-Under a flood each event keeps its first lines of every second whole; the rest
-are counted, by event and reason, and told in one line when the second is over.
+Under a flood of events, the first lines of each event in every second are
+written in full. Further lines are counted by event and reason, and each count
+is reported in one line after the second.
 """
 
 import collections
@@ -10,55 +11,59 @@
 
 __all__ = ["LineBudget"]
 
-# Lines of one event and second: a few for each request of a busy entry, so
-# that in usual times every decision is written.
-_LINES_A_SECOND = 100
-_SECOND_S = 1.0
+# Maximum per event. It allows a few lines for each request of a busy entry, so
+# that under normal load every decision is written.
+_MAX_LINES_PER_S = 100
+_WINDOW_S = 1.0
 
 
 class LineBudget:
-    """Decides which lines are written.
+    """Rate limiter for log lines, with a limit for each event.
 
     Args:
-        lines_a_second: most lines of one event.
+        max_lines_per_s: maximum number of lines of one event.
         clock_s: a monotonic clock in seconds.
     """
 
     def __init__(
         self,
-        lines_a_second: int = _LINES_A_SECOND,
+        max_lines_per_s: int = _MAX_LINES_PER_S,
         clock_s: Callable[[], float] = time.monotonic,
     ):
-        """See the class."""
-        self._lines_a_second = lines_a_second
+        """Starts the first window, without any lines."""
+        self._max_lines_per_s = max_lines_per_s
         self._clock_s = clock_s
-        self._second_began = clock_s()
+        self._window_start_s = clock_s()
         self._written_by_event: collections.Counter[str] = collections.Counter()
-        self._left_out: collections.Counter[tuple[str, str]] = (
+        self._suppressed: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
 
-    def takes(self, event: str, reason: object) -> bool:
-        """Whether a line is to be written now; counts it if not.
+    def admit(self, event: str, reason: object) -> bool:
+        """Returns whether to write a line; counts the line if not.
 
         Args:
-            event: the line's event.
-            reason: its field of that name, by which it is counted.
+            event: name of the line's event.
+            reason: its field `reason`; suppressed lines are counted by it.
         """
-        if self._written_by_event[event] < self._lines_a_second:
+        if self._written_by_event[event] < self._max_lines_per_s:
             self._written_by_event[event] += 1
             return True
-        self._left_out[event, str(reason)] += 1
+        self._suppressed[event, str(reason)] += 1
         return False
 
-    def over(self) -> Iterator[tuple[str, str, int]]:
-        """What was left out in a second that is over: event, reason, count."""
-        now = self._clock_s()
-        if now - self._second_began < _SECOND_S:
+    def take_summaries(self) -> Iterator[tuple[str, str, int]]:
+        """Yields event, reason and count of lines suppressed in a past window.
+
+        Starts a new window if the current one has ended, and otherwise yields
+        nothing.
+        """
+        now_s = self._clock_s()
+        if now_s - self._window_start_s < _WINDOW_S:
             return
-        self._second_began = now
+        self._window_start_s = now_s
         self._written_by_event.clear()
-        left_out = dict(self._left_out)
-        self._left_out.clear()
-        for (event, reason), count in left_out.items():
+        suppressed = dict(self._suppressed)
+        self._suppressed.clear()
+        for (event, reason), count in suppressed.items():
             yield event, reason, count
--- a/damaskcroft/observe/_logs.py
+++ b/damaskcroft/observe/_logs.py
@@ -1,7 +1,7 @@
-"""One line of key=value pairs for each event, by absl.logging.
+"""Logs each event as one line of key=value pairs, through absl.logging.
 
-Lines go to standard output; see `_writer` and `_budget` for how they are kept
-from holding anything up and from growing without bound.
+Lines go to standard output. `_writer` keeps a slow reader of the output from
+blocking the process, and `_budget` bounds the volume of the log.
 """
 
 import atexit
@@ -15,12 +15,12 @@
 
 _NEEDS_QUOTES = frozenset(' "=\n\t')
 _budget = LineBudget()
-# None until logs are started.
+# None until `start_logs` is called.
 _writer: LineWriter | None = None
 
 
 class _Handler(standard_logging.Handler):
-    """Hands formatted lines to the writer."""
+    """Passes formatted lines to the writer."""
 
     def __init__(self, writer: LineWriter):
         super().__init__()
@@ -31,70 +31,76 @@
 
 
 def start_logs(process: str) -> None:
-    """Sends events to standard output, each with the process's name."""
+    """Starts logging to standard output, with the process name in each line."""
     global _writer
-    # Settings come from INI files; the library waits for flags otherwise.
+    # absl.logging expects parsed flags, but settings come from INI files.
     flags.FLAGS.mark_as_parsed()
     logging.set_verbosity(logging.INFO)
     formatter = standard_logging.Formatter(
         f"time=%(asctime)s.%(msecs)03d process={process} %(message)s",
         datefmt="%Y-%m-%dT%H:%M:%S",
     )
-    writer = LineWriter(told_dropped=lambda count: _dropped(formatter, count))
+    writer = LineWriter(
+        format_dropped=lambda count: _format_dropped(formatter, count)
+    )
     _writer = writer
     atexit.register(writer.close)
     handler = _Handler(writer)
     handler.setFormatter(formatter)
     root = standard_logging.getLogger()
-    for other in list(root.handlers):
-        root.removeHandler(other)
+    for existing in list(root.handlers):
+        root.removeHandler(existing)
     root.addHandler(handler)
-    # Libraries log in prose; only their warnings matter to operators.
+    # Libraries log free text; only their errors matter to operators.
     for name in ("uvicorn", "grpclib", "transitions", "asyncio", "h2", "hpack"):
         standard_logging.getLogger(name).setLevel(standard_logging.ERROR)
 
 
-def end_logs(within_s: float) -> None:
-    """Waits for the last lines, where the process ends without `atexit`."""
+def end_logs(timeout_s: float) -> None:
+    """Writes the remaining lines, for a process that ends without `atexit`.
+
+    Args:
+        timeout_s: longest wait.
+    """
     if _writer is not None:
-        _writer.close(within_s)
+        _writer.close(timeout_s)
 
 
 def log_event(event: str, **fields: object) -> None:
     """Logs one event.
 
-    Of one event no more than some lines a second are written; what is left
-    out is counted by the field `reason` and told a second later.
+    The number of lines per event and second is limited. Suppressed lines are
+    counted by the field `reason` and reported a second later.
 
     Args:
-        event: the event's fixed name.
-        **fields: its details; text that needs it is quoted as JSON.
+        event: fixed name of the event.
+        **fields: details; text with special characters is quoted as JSON.
     """
-    for name, reason, count in _budget.over():
-        summed = {"of": name, "reason": reason, "count": count}
-        logging.info("%s", _line("log_lines_summed", summed))
-    if _budget.takes(event, fields.get("reason", "")):
-        logging.info("%s", _line(event, fields))
+    for name, reason, count in _budget.take_summaries():
+        summary = {"of": name, "reason": reason, "count": count}
+        logging.info("%s", _format_line("log_lines_summed", summary))
+    if _budget.admit(event, fields.get("reason", "")):
+        logging.info("%s", _format_line(event, fields))
 
 
 def log_warning(event: str, **fields: object) -> None:
-    """Logs one event that an operator may have to act on."""
-    logging.warning("%s", _line(event, fields))
+    """Logs an event that may need action by an operator, without a limit."""
+    logging.warning("%s", _format_line(event, fields))
 
 
-def _dropped(formatter: standard_logging.Formatter, count: int) -> str:
-    """The line that tells of others, as if it had been logged."""
-    message = _line("log_lines_dropped", {"count": count})
+def _format_dropped(formatter: standard_logging.Formatter, count: int) -> str:
+    """Formats the report of dropped lines like any logged line."""
+    message = _format_line("log_lines_dropped", {"count": count})
     return formatter.format(standard_logging.makeLogRecord({"msg": message}))
 
 
-def _line(event: str, fields: dict[str, object]) -> str:
+def _format_line(event: str, fields: dict[str, object]) -> str:
     pairs = [f"event={event}"]
-    pairs += [f"{key}={_quoted(value)}" for key, value in fields.items()]
+    pairs += [f"{key}={_quote(value)}" for key, value in fields.items()]
     return " ".join(pairs)
 
 
-def _quoted(value: object) -> str:
+def _quote(value: object) -> str:
     if isinstance(value, float):
         return f"{value:.6g}"
     text = str(value)
--- a/damaskcroft/observe/_writer.py
+++ b/damaskcroft/observe/_writer.py
@@ -1,8 +1,8 @@
-"""Writes log lines without ever holding up whoever logs.
+"""Writes log lines without blocking the code that logs.
 
-Lines wait in a bounded buffer that a thread empties in batches. Whoever reads
-the output may stop reading: then the buffer fills, further lines are dropped
-and counted, and the count is the first thing written once there is room.
+Lines are put into a bounded buffer that a thread empties in batches. If the
+reader of the output stalls, the buffer fills up and further lines are dropped
+and counted. The count is written first once there is room again.
 """
 
 import collections
@@ -13,39 +13,40 @@
 
 __all__ = ["LineWriter"]
 
-# At most so many lines wait: half a minute of a busy entry, about 2 MB.
-_MAX_LINES = 8192
-# Lines are gathered for this long, so that the thread wakes up seldom.
-_GATHER_S = 0.05
-# Tells of lines that were dropped, where nobody gives it another form.
-_TOLD_DROPPED = "event=log_lines_dropped count={}"
-# At its end a process waits for its last lines for this long; the platform may
-# end it soon.
-_LAST_S = 0.4
+# Half a minute of a busy entry's log, about 2 MB.
+_MAX_BUFFERED_LINES = 8192
+# Lines are collected for this long, so that the thread wakes up less often.
+_BATCH_DELAY_S = 0.05
+# Default format of the report of dropped lines.
+_DROPPED_LINE = "event=log_lines_dropped count={}"
+# Longest wait for the remaining lines at process exit. It is short because the
+# platform may kill the process soon.
+_CLOSE_TIMEOUT_S = 0.4
 
 
 class LineWriter:
     """A thread that writes lines to a stream.
 
     Args:
-        stream: where to; standard output unless a test says otherwise.
-        max_lines: most lines that wait.
-        told_dropped: the line that tells how many were dropped.
+        stream: output stream; standard output if None.
+        max_lines: maximum number of buffered lines.
+        format_dropped: formats the line that reports how many lines were
+            dropped.
     """
 
     def __init__(
         self,
         stream: TextIO | None = None,
-        max_lines: int = _MAX_LINES,
-        told_dropped: Callable[[int], str] = _TOLD_DROPPED.format,
+        max_lines: int = _MAX_BUFFERED_LINES,
+        format_dropped: Callable[[int], str] = _DROPPED_LINE.format,
     ):
         """Starts the thread."""
-        self._told_dropped = told_dropped
+        self._format_dropped = format_dropped
         self._stream = stream or sys.stdout
         self._max_lines = max_lines
         self._lines: collections.deque[str] = collections.deque()
         self._dropped = 0
-        self._waiting = threading.Event()
+        self._has_lines = threading.Event()
         self._closed = threading.Event()
         self._thread = threading.Thread(
             target=self._run, name="log-writer", daemon=True
@@ -53,41 +54,41 @@
         self._thread.start()
 
     def write(self, line: str) -> None:
-        """Takes a line, or drops it if too many wait."""
+        """Adds a line to the buffer, or drops it if the buffer is full."""
         if len(self._lines) >= self._max_lines:
             self._dropped += 1
             return
         self._lines.append(line)
-        if not self._waiting.is_set():
-            self._waiting.set()
+        if not self._has_lines.is_set():
+            self._has_lines.set()
 
-    def close(self, within_s: float = _LAST_S) -> None:
-        """Waits a little for the last lines to be written."""
+    def close(self, timeout_s: float = _CLOSE_TIMEOUT_S) -> None:
+        """Waits until the remaining lines are written, or for `timeout_s`."""
         self._closed.set()
-        self._waiting.set()
-        self._thread.join(within_s)
+        self._has_lines.set()
+        self._thread.join(timeout_s)
 
     def _run(self) -> None:
         while not (self._closed.is_set() and not self._lines):
-            self._waiting.wait()
-            self._closed.wait(_GATHER_S)
-            self._waiting.clear()
-            batch = self._taken()
+            self._has_lines.wait()
+            self._closed.wait(_BATCH_DELAY_S)
+            self._has_lines.clear()
+            batch = self._take_batch()
             if not batch:
                 continue
             try:
                 self._stream.write(batch)
                 self._stream.flush()
             except (OSError, ValueError):
-                # Nobody reads any more, and there is no other place to say
-                # so; the process goes on without its log.
+                # The output is closed, and there is no other place to report
+                # it; the process continues without its log.
                 return
 
-    def _taken(self) -> str:
+    def _take_batch(self) -> str:
         lines = []
         dropped, self._dropped = self._dropped, 0
         if dropped:
-            lines.append(self._told_dropped(dropped))
+            lines.append(self._format_dropped(dropped))
         for _ in range(len(self._lines)):
             lines.append(self._lines.popleft())
         return "".join(f"{line}\n" for line in lines)
--- a/damaskcroft/observe/metrics.py
+++ b/damaskcroft/observe/metrics.py
@@ -1,4 +1,4 @@
-"""Every metric of the system, declared in one place with its meaning."""
+"""Declares all metrics of the system with their meanings."""
 
 from prometheus_client import REGISTRY, Counter, Gauge, Histogram
 
@@ -46,7 +46,7 @@
     "idle_connections_closed",
 ]
 
-_SECONDS = (
+_LATENCY_BUCKETS_S = (
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10,
 )  # fmt: skip
 
@@ -98,30 +98,32 @@
 )
 QUEUE_WAIT_S = Histogram(
     "damask_queue_wait_seconds", "Wait for a slot", ["priority"],
-    buckets=_SECONDS,
+    buckets=_LATENCY_BUCKETS_S,
 )  # fmt: skip
 FIRST_TOKEN_S = Histogram(
     "damask_first_token_seconds", "Arrival to first body byte", ["priority"],
-    buckets=_SECONDS,
+    buckets=_LATENCY_BUCKETS_S,
 )  # fmt: skip
 TOKEN_GAP_S = Histogram(
-    "damask_token_gap_seconds", "Time between body pieces", buckets=_SECONDS
+    "damask_token_gap_seconds",
+    "Time between body pieces",
+    buckets=_LATENCY_BUCKETS_S,
 )
 ANSWER_QUEUED_S = Histogram(
     "damask_answer_queued_seconds", "Arrival until a target's slot is had",
-    ["service"], buckets=_SECONDS,
+    ["service"], buckets=_LATENCY_BUCKETS_S,
 )  # fmt: skip
 ANSWER_FIRST_S = Histogram(
     "damask_answer_first_seconds", "Arrival until the caller has something",
-    ["service"], buckets=_SECONDS,
+    ["service"], buckets=_LATENCY_BUCKETS_S,
 )  # fmt: skip
 ANSWER_GAP_S = Histogram(
     "damask_answer_gap_seconds", "Longest pause in a streamed answer",
-    ["service"], buckets=_SECONDS,
+    ["service"], buckets=_LATENCY_BUCKETS_S,
 )  # fmt: skip
 ANSWER_WHOLE_S = Histogram(
     "damask_answer_whole_seconds", "Arrival until the answer is whole",
-    ["service"], buckets=_SECONDS,
+    ["service"], buckets=_LATENCY_BUCKETS_S,
 )  # fmt: skip
 ADMISSION_QUEUED = Gauge("damask_queued", "Requests waiting", ["pool"])
 ADMISSION_OUTSTANDING = Gauge("damask_outstanding", "Requests running")
@@ -161,7 +163,7 @@
 HOLDERS_LAPSED = Gauge("damask_holders_lapsed", "Known holders without a lease")
 IN_FORCE_S = Histogram(
     "damask_in_force_seconds", "Accepted until every live holder applied it",
-    buckets=_SECONDS,
+    buckets=_LATENCY_BUCKETS_S,
 )  # fmt: skip
 BURST_BYTES = Counter(
     "damask_burst_bytes", "Weight bytes by source; 'sent' to peers", ["source"]
@@ -186,6 +188,10 @@
 
 
 def idle_connections_closed(how: str) -> int:
-    """How many idle connections this process has ended, by their label."""
+    """Returns this process's count of closed idle connections.
+
+    Args:
+        how: label of the counter.
+    """
     name = "damask_idle_connections_closed_total"
     return int(REGISTRY.get_sample_value(name, {"how": how}) or 0)
--- a/damaskcroft/observe/tests/test_logs.py
+++ b/damaskcroft/observe/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs under a flood, and before a reader that does not read."""
+"""Logging under a flood of events and with a stalled reader."""
 
 import os
 import subprocess
@@ -18,58 +18,58 @@
         return self.now
 
 
-def test_a_flood_of_refusals_keeps_the_volume_bounded():
+def test_flood_of_refusals_keeps_log_volume_bounded():
     clock = Clock()
     budget = LineBudget(100, clock)
-    written, summed = 0, 0
+    written, suppressed = 0, 0
     for _ in range(10):
         for number in range(5000):
             reason = "overloaded" if number % 2 else "no_target"
-            written += budget.takes("refused", reason)
-        # Another event has a budget of its own.
-        assert budget.takes("configuration_applied", "")
+            written += budget.admit("refused", reason)
+        # Each event has its own limit.
+        assert budget.admit("configuration_applied", "")
         clock.now += 1.0
-        told = list(budget.over())
-        assert {(event, reason) for event, reason, _ in told} == {
+        reports = list(budget.take_summaries())
+        assert {(event, reason) for event, reason, _ in reports} == {
             ("refused", "overloaded"),
             ("refused", "no_target"),
         }
-        summed += sum(count for _, _, count in told)
+        suppressed += sum(count for _, _, count in reports)
     assert written == 1000
-    assert written + summed == 50_000
+    assert written + suppressed == 50_000
 
 
-def test_what_was_left_out_is_told_once():
+def test_suppressed_lines_are_reported_once():
     clock = Clock()
     budget = LineBudget(1, clock)
-    assert budget.takes("refused", "a")
-    assert not budget.takes("refused", "a")
-    assert list(budget.over()) == []
+    assert budget.admit("refused", "a")
+    assert not budget.admit("refused", "a")
+    assert list(budget.take_summaries()) == []
     clock.now += 1.0
-    assert list(budget.over()) == [("refused", "a", 1)]
+    assert list(budget.take_summaries()) == [("refused", "a", 1)]
     clock.now += 1.0
-    assert list(budget.over()) == []
-    assert budget.takes("refused", "a")
+    assert list(budget.take_summaries()) == []
+    assert budget.admit("refused", "a")
 
 
-def test_a_reader_that_stops_reading_holds_nobody_up():
-    """The pipe is full after 64 KiB; lines are dropped and counted."""
-    reading, writing = os.pipe()
-    with os.fdopen(writing, "w") as stream:
+def test_stalled_reader_does_not_block_logging():
+    """A full pipe holds 64 KiB; further lines are dropped and counted."""
+    read_fd, write_fd = os.pipe()
+    with os.fdopen(write_fd, "w") as stream:
         writer = LineWriter(stream, max_lines=50)
         line = "x" * 1000
         for _ in range(70):
             writer.write(line)
         while writer._lines:
             time.sleep(0.01)
-        # The thread is stuck in the pipe by now or will be; nobody else is.
+        # The writer thread blocks on the full pipe; callers must not.
         for _ in range(1000):
             writer.write(line)
         assert len(writer._lines) <= 50
         received = []
 
         def read_all():
-            with os.fdopen(reading) as source:
+            with os.fdopen(read_fd) as source:
                 received.extend(source)
 
         reader = threading.Thread(target=read_all)
@@ -78,12 +78,12 @@
     reader.join()
     dropped = [r for r in received if "event=log_lines_dropped" in r]
     assert dropped
-    counted = sum(int(r.rpartition("=")[2]) for r in dropped)
+    dropped_count = sum(int(r.rpartition("=")[2]) for r in dropped)
     whole = sum(r == line + "\n" for r in received)
-    assert whole + counted == 1070
+    assert whole + dropped_count == 1070
 
 
-# Writes more than a pipe and the buffer take, and then waits to be read.
+# Writes more than the pipe and the buffer hold, then waits on its input.
 FLOODING = """
 import sys
 from damaskcroft.observe import log_warning, start_logs
@@ -95,7 +95,7 @@
 """
 
 
-def test_lines_that_were_dropped_are_told_like_any_other():
+def test_dropped_lines_are_reported_in_the_usual_format():
     process = subprocess.Popen(
         [sys.executable, "-c", FLOODING],
         stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=subprocess.PIPE,
@@ -104,14 +104,15 @@
     assert process.stderr.readline() == "written\n"
     written, _ = process.communicate(timeout=30)
     lines = list(parsed(written.splitlines()))
-    told = [line for line in lines if line.event == "log_lines_dropped"]
-    assert {line.process for line in told} == {"p-1"}
-    floods = sum(line.event == "flood" for line in lines)
-    assert floods + sum(line.number("count") for line in told) == 20_000
+    reports = [line for line in lines if line.event == "log_lines_dropped"]
+    assert {line.process for line in reports} == {"p-1"}
+    flood_count = sum(line.event == "flood" for line in lines)
+    assert flood_count + sum(line.number("count") for line in reports) == 20_000
 
 
-def test_a_reader_that_stops_reading_does_not_hold_up_the_end():
-    # Against a process that its platform kills while it waits for its reader.
+def test_stalled_reader_does_not_delay_process_exit():
+    # Guards against a process that waits for a stalled reader at exit until its
+    # platform kills it.
     process = subprocess.Popen(
         [sys.executable, "-c", FLOODING],
         stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=subprocess.PIPE,
@@ -119,7 +120,7 @@
     )  # fmt: skip
     with process:
         assert process.stderr.readline() == "written\n"
-        told_at = time.monotonic()
+        closed_at = time.monotonic()
         process.stdin.close()
         process.wait(10)
-        assert time.monotonic() - told_at < 0.95
+        assert time.monotonic() - closed_at < 0.95
