--- a/damaskcroft/ctl/__init__.py
+++ b/damaskcroft/ctl/__init__.py
@@ -1,1 +1,1 @@
-"""The program damaskctl: the operator's shell."""
+"""The command-line program damaskctl for operators."""
--- a/damaskcroft/ctl/_causes.py
+++ b/damaskcroft/ctl/_causes.py
@@ -1,78 +1,94 @@
-"""The cause of what became of a request, in one line, from its log lines."""
+"""Derives the cause of a request's outcome, as one line, from log lines."""
 
 import dataclasses
 
-from damaskcroft.ctl._attempts import asked, failures, target_of
+from damaskcroft.ctl._attempts import (
+    attempt_lines,
+    describe_failures,
+    describe_target,
+)
 from damaskcroft.ctl._log_lines import Line
-from damaskcroft.ctl._unended import why_unended
+from damaskcroft.ctl._unfinished import explain_unfinished
 
-__all__ = ["Met", "cause"]
+__all__ = ["Context", "explain_outcome"]
 
-# HTTP statuses from here on are failures of whoever answers (RFC 9110).
-_SERVER_ERROR = 500
+# Lowest HTTP status that reports a failure of the server (RFC 9110).
+_MIN_SERVER_ERROR = 500
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Met:
-    """What happened around a request.
+class Context:
+    """Log lines and state around a request.
 
     Attributes:
-        before: what its processes and targets met until its last line.
-        later: what the process of its last line wrote afterwards.
-        idle_agents: agents of its service that wanted no weights then.
+        lines_before: events of its processes and targets up to its last line.
+        later_lines: lines of the process of its last line after that line.
+        idle_agents: agents of its service that had no desired version then.
     """
 
-    before: list[Line]
-    later: list[Line]
+    lines_before: list[Line]
+    later_lines: list[Line]
     idle_agents: list[str]
 
 
-def cause(own: list[Line], met: Met) -> str:
-    """Why a request ended as it did.
+def explain_outcome(request_lines: list[Line], context: Context) -> str:
+    """Explains the outcome of a request.
 
     Args:
-        own: its lines in order, one at least.
-        met: what happened around it.
+        request_lines: its lines in order, at least one.
+        context: events around the request.
     """
-    last = own[-1]
+    last = request_lines[-1]
     match last.event:
         case "answered" | "answered_late":
-            return _why_answered(own, last)
+            return _explain_answered(request_lines, last)
         case "answer_broken_off":
             reason = last.fields.get("reason")
             ending = f"the answer had begun and was broken off: {reason}"
-            return _why_lost(own, ending)
+            return _with_failures(request_lines, ending)
         case "caller_left":
-            return _why_left(own, last)
+            return _explain_disconnect(request_lines, last)
         case "refused":
-            return _why_refused(own, last, met)
-    return why_unended(last, met.later)
+            return _explain_refused(request_lines, last, context)
+    return explain_unfinished(last, context.later_lines)
 
 
-def _why_answered(own: list[Line], last: Line) -> str:
-    late = _why_late(last) if last.event == "answered_late" else ""
-    if (last.number("status") or 0) >= _SERVER_ERROR:
-        return _why_failed(own, last) + (f"; {late}" if late else "")
-    if not late:
+def _explain_answered(request_lines: list[Line], last: Line) -> str:
+    late_text = _explain_late(last) if last.event == "answered_late" else ""
+    if (last.number("status") or 0) >= _MIN_SERVER_ERROR:
+        return _explain_failed(request_lines, last) + (
+            f"; {late_text}" if late_text else ""
+        )
+    if not late_text:
         return f"answered in time with {last.field('status')}"
-    return _why_lost(own, late)
+    return _with_failures(request_lines, late_text)
 
 
-def _why_failed(own: list[Line], last: Line) -> str:
-    """A target's own failure, that the caller got as its answer."""
+def _explain_failed(request_lines: list[Line], last: Line) -> str:
+    """Explains an error status of a target that was passed to the caller."""
     status = last.field("status")
-    attempts = asked(own)
+    attempts = attempt_lines(request_lines)
     if not attempts:
         return f"answered with {status} by a target of which no line is left"
-    answering = attempts[-1]
-    told = f"{target_of(answering)} answered with {status}, its own failure"
-    tried = last.field("targets")
-    if tried and tried != "1":
-        told += f"; {tried} targets were tried"
-    return "; ".join([told, *failures(own, answering.field("target"))])
-
-
-def _why_late(last: Line) -> str:
+    answering_attempt = attempts[-1]
+    text = (
+        f"{describe_target(answering_attempt)} answered with {status},"
+        " its own failure"
+    )
+    target_count = last.field("targets")
+    if target_count and target_count != "1":
+        text += f"; {target_count} targets were tried"
+    return "; ".join(
+        [
+            text,
+            *describe_failures(
+                request_lines, answering_attempt.field("target")
+            ),
+        ]
+    )
+
+
+def _explain_late(last: Line) -> str:
     queued_s = last.number("queued_s") or 0.0
     first_s = last.number("first_s") or 0.0
     longest_gap_s = last.number("longest_gap_s") or 0.0
@@ -89,69 +105,95 @@
     return "answered late: " + ", ".join(parts)
 
 
-def _why_left(own: list[Line], last: Line) -> str:
-    told = f"the caller left after {last.field('after_s')} s"
-    attempts = asked(own)
+def _explain_disconnect(request_lines: list[Line], last: Line) -> str:
+    text = f"the caller left after {last.field('after_s')} s"
+    attempts = attempt_lines(request_lines)
     if attempts and attempts[-1].event == "sent":
-        told += f", while {target_of(attempts[-1])} had it"
-    elif not attempts and own[0].event == "queued":
-        told += ", in line all that time"
-    return _why_lost(own, told)
+        text += f", while {describe_target(attempts[-1])} had it"
+    elif not attempts and request_lines[0].event == "queued":
+        text += ", in line all that time"
+    return _with_failures(request_lines, text)
 
 
-def _why_refused(own: list[Line], last: Line, met: Met) -> str:
+def _explain_refused(
+    request_lines: list[Line], last: Line, context: Context
+) -> str:
     fields = last.fields
     reason = fields.get("reason", "")
-    back = fields.get("retry_after_s", "None")
-    after = "" if back == "None" else f"; told to come back in {back} s"
+    retry_after_s = fields.get("retry_after_s", "None")
+    retry_after_text = (
+        ""
+        if retry_after_s == "None"
+        else f"; told to come back in {retry_after_s} s"
+    )
     service = fields.get("service", "")
     match reason:
         case "overloaded":
             detail = fields.get("detail", "")
-            full = f"every target of {service} was full, {detail}{after}"
-            return full + _waited_for_weights(own)
+            overload_text = (
+                f"every target of {service} was full, {detail}"
+                f"{retry_after_text}"
+            )
+            return overload_text + _describe_weights_wait(request_lines)
         case "no_weights":
-            return _why_no_weights(service, met) + after
-        case "no_target" if not asked(own):
-            return f"no target of {service} was ready{after}"
+            return _explain_no_weights(service, context) + retry_after_text
+        case "no_target" if not attempt_lines(request_lines):
+            return f"no target of {service} was ready{retry_after_text}"
         case "no_target":
-            ending = f"no other target of {service} was left{after}"
-            return _why_lost(own, ending)
+            ending = f"no other target of {service} was left{retry_after_text}"
+            return _with_failures(request_lines, ending)
         case "no_configuration":
-            return f"the entry had no configuration yet{after}"
+            return f"the entry had no configuration yet{retry_after_text}"
         case "unknown_route" | "unknown_key":
-            what = "route" if reason == "unknown_route" else "key"
+            missing_kind = "route" if reason == "unknown_route" else "key"
             return (
                 f"configuration {fields.get('configuration')} of"
-                f" {last.process} has no such {what}; it heard control"
+                f" {last.process} has no such {missing_kind}; it heard control"
                 f" {fields.get('heard_s')} s before"
             )
         case "quarantined":
             detail = fields.get("detail", "")
-            ending = f"targets crashed under this request, {detail}{after}"
-            return _why_lost(own, ending)
+            ending = (
+                f"targets crashed under this request, {detail}"
+                f"{retry_after_text}"
+            )
+            return _with_failures(request_lines, ending)
         case "resting":
-            return _why_lost(own, f"targets of {service} rest{after}")
+            return _with_failures(
+                request_lines, f"targets of {service} rest{retry_after_text}"
+            )
         case "rate_limited":
-            ending = f"targets of {service} get all that they take{after}"
-            return _why_lost(own, ending)
+            ending = (
+                f"targets of {service} get all that they take{retry_after_text}"
+            )
+            return _with_failures(request_lines, ending)
         case "stopping":
-            return f"the entry was about to end{after}"
-    return _why_lost(own, f"refused as {reason}{after}")
-
-
-def _why_no_weights(service: str, met: Met) -> str:
-    named = [line for line in met.before if line.event == "weights_named"]
-    due = f", version {named[-1].field('version')}" if named else ""
-    told = f"no target of {service} holds the weights that are due{due}"
-    if met.idle_agents:
-        told += f"; these agents wanted none: {', '.join(met.idle_agents)}"
-    return told
-
-
-def _waited_for_weights(own: list[Line]) -> str:
-    """What was wanting first, where that is not what decided in the end."""
-    for line in own:
+            return f"the entry was about to end{retry_after_text}"
+    return _with_failures(
+        request_lines, f"refused as {reason}{retry_after_text}"
+    )
+
+
+def _explain_no_weights(service: str, context: Context) -> str:
+    announced_versions = [
+        line for line in context.lines_before if line.event == "weights_named"
+    ]
+    version_text = (
+        f", version {announced_versions[-1].field('version')}"
+        if announced_versions
+        else ""
+    )
+    text = (
+        f"no target of {service} holds the weights that are due{version_text}"
+    )
+    if context.idle_agents:
+        text += f"; these agents wanted none: {', '.join(context.idle_agents)}"
+    return text
+
+
+def _describe_weights_wait(request_lines: list[Line]) -> str:
+    """Describes a wait for weights that preceded another final reason."""
+    for line in request_lines:
         if line.event == "queued" and line.field("reason") == "no_weights":
             return (
                 f"; {line.field('waited_s')} s after it came no target held"
@@ -160,5 +202,5 @@
     return ""
 
 
-def _why_lost(own: list[Line], ending: str) -> str:
-    return "; ".join([ending, *failures(own)])
+def _with_failures(request_lines: list[Line], ending: str) -> str:
+    return "; ".join([ending, *describe_failures(request_lines)])
--- a/damaskcroft/ctl/_client.py
+++ b/damaskcroft/ctl/_client.py
@@ -1,4 +1,4 @@
-"""Operators' calls to control, with resends that are safe."""
+"""Client for operators' calls to control, with safe retries."""
 
 import asyncio
 import dataclasses
@@ -19,37 +19,41 @@
 from damaskcroft.rpc import CALL_ERRORS, ChannelPool
 
 _CALL_TIMEOUT_S = 6.0
-_PAUSE_S = 0.2
+_RETRY_PAUSE_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoAnswer:
-    """No leader answered in time; a write may still take effect."""
+    """No replica gave a usable answer in time; a write may still take effect.
+
+    Attributes:
+        tried: addresses of the replicas that were called.
+    """
 
     tried: tuple[str, ...]
 
 
 class ControlClient:
-    """Finds the leader among the replicas and asks it.
+    """Finds the leader among the replicas and calls it.
 
     Args:
-        addresses: all control replicas.
-        pool: channels to them.
-        patience_s: how long to look for a leader.
+        addresses: addresses of all control replicas.
+        pool: pool of channels to the replicas.
+        timeout_s: how long to retry until a leader answers.
     """
 
     def __init__(
-        self, addresses: list[str], pool: ChannelPool, patience_s: float
+        self, addresses: list[str], pool: ChannelPool, timeout_s: float
     ):
-        """See the class."""
+        """Sets the addresses; no connection is opened yet."""
         self._addresses = addresses
         self._pool = pool
-        self._patience_s = patience_s
+        self._timeout_s = timeout_s
 
     async def write(
         self, request: control_pb2.WriteRequest
     ) -> control_pb2.WriteReply | NoAnswer:
-        """Writes a record; the same request id is resent until decided."""
+        """Writes a record; retries with the same request id until decided."""
         undecided = (
             control_pb2.WRITE_NOT_LEADER,
             control_pb2.WRITE_UNKNOWN,
@@ -64,7 +68,7 @@
         return NoAnswer(tuple(self._addresses))
 
     async def read(self) -> control_pb2.ReadReply | NoAnswer:
-        """Reads the configuration, confirmed by a majority."""
+        """Reads the configuration, confirmed by a quorum."""
         async for stub in self._stubs():
             try:
                 reply = await stub.Read(
@@ -79,23 +83,23 @@
     async def quarantine(
         self, lift: Iterable[bytes] = ()
     ) -> quarantine_pb2.QuarantineReply | NoAnswer:
-        """Requests that are refused since targets crashed under them.
+        """Returns the requests refused because targets crashed on them.
 
         Args:
-            lift: fingerprints of those that may run again.
+            lift: fingerprints of requests to release from quarantine.
         """
         request = quarantine_pb2.QuarantineRequest(lift=lift)
-        return await self._reviewed(quarantine_grpc.QuarantineStub, request)
+        return await self._review(quarantine_grpc.QuarantineStub, request)
 
     async def limits(self) -> limits_pb2.LimitsReply | NoAnswer:
-        """Targets that name how many requests a second they take."""
+        """Returns the rate limits that targets announce."""
         request = limits_pb2.LimitsRequest()
-        return await self._reviewed(limits_grpc.LimitsStub, request)
+        return await self._review(limits_grpc.LimitsStub, request)
 
-    async def _reviewed(
+    async def _review(
         self, stub_type: Callable[[grpclib.client.Channel], Any], request: Any
     ) -> Any:
-        """The first replica's answer to a service's Review, or NoAnswer."""
+        """Calls a service's Review; returns the first reply, or NoAnswer."""
         async for channel in self._channels():
             try:
                 return await stub_type(channel).Review(
@@ -110,11 +114,11 @@
             yield control_grpc.ControlStub(channel)
 
     async def _channels(self) -> AsyncIterator[grpclib.client.Channel]:
-        """To all replicas in turn, until patience ends."""
-        give_up_at = time.monotonic() + self._patience_s
+        """Yields channels to all replicas in turn, until the timeout."""
+        deadline = time.monotonic() + self._timeout_s
         while True:
             for address in self._addresses:
                 yield self._pool.channel(address)
-            if time.monotonic() > give_up_at:
+            if time.monotonic() > deadline:
                 return
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_RETRY_PAUSE_S)
--- a/damaskcroft/ctl/_log_lines.py
+++ b/damaskcroft/ctl/_log_lines.py
@@ -1,4 +1,4 @@
-"""Lines of key=value pairs as every process writes them, read back."""
+"""Parses the log lines of key=value pairs that all processes write."""
 
 import dataclasses
 import datetime
@@ -16,11 +16,11 @@
     """One event of one process.
 
     Attributes:
-        time: as written, which sorts by time.
-        at_s: the same in seconds, to be compared with other lines only.
-        process: who wrote it.
-        event: its name.
-        fields: its other pairs.
+        time: as written; the text sorts chronologically.
+        at_s: the same in seconds, for comparison with other lines only.
+        process: name of the process that wrote it.
+        event: name of the event.
+        fields: all other pairs.
     """
 
     time: str
@@ -30,22 +30,22 @@
     fields: dict[str, str]
 
     def text(self) -> str:
-        """The line as it is shown."""
+        """Returns the line as it is printed."""
         pairs = " ".join(f"{k}={v}" for k, v in self.fields.items())
         return f"{self.time} {self.process} {self.event} {pairs}"
 
     def time_before(self, seconds: float) -> str:
-        """The time so long before the line, written as lines write it."""
+        """Returns the time `seconds` before the line, in the format of logs."""
         moment = datetime.datetime.fromisoformat(self.time)
         earlier = moment - datetime.timedelta(seconds=seconds)
         return earlier.isoformat(timespec="milliseconds")
 
     def field(self, name: str) -> str:
-        """One of its fields; empty if there is none of that name."""
+        """Returns the value of a field; empty if there is no such field."""
         return self.fields.get(name, "")
 
     def number(self, name: str) -> float | None:
-        """A field as a number; None if there is none or it says nothing."""
+        """Returns a field as a number; None if it is missing or not numeric."""
         try:
             return float(self.fields[name])
         except (KeyError, ValueError):
@@ -53,24 +53,24 @@
 
 
 def parsed(lines: Iterable[str]) -> Iterator[Line]:
-    """The events among some lines of text, with anything before them."""
+    """Yields the events in lines of text; text before `time=` is ignored."""
     for text in lines:
         start = text.find("time=")
         if start < 0:
             continue
-        fields = {k: _plain(v) for k, v in _PAIR.findall(text[start:])}
+        fields = {k: _unquote(v) for k, v in _PAIR.findall(text[start:])}
         if "event" not in fields or "process" not in fields:
             continue
         time = fields.pop("time")
-        at_s = _seconds(time)
+        at_s = _to_seconds(time)
         if at_s is None:
             continue
         process, event = fields.pop("process"), fields.pop("event")
         yield Line(time, at_s, process, event, fields)
 
 
-def _seconds(time: str) -> float | None:
-    """Seconds since some moment; None for what is no time of day."""
+def _to_seconds(time: str) -> float | None:
+    """Returns `time`, read as UTC, in seconds; None if it is no timestamp."""
     try:
         moment = datetime.datetime.fromisoformat(time)
     except ValueError:
@@ -78,7 +78,7 @@
     return moment.replace(tzinfo=datetime.UTC).timestamp()
 
 
-def _plain(value: str) -> str:
+def _unquote(value: str) -> str:
     if not value.startswith('"'):
         return value
     try:
--- a/damaskcroft/ctl/_views.py
+++ b/damaskcroft/ctl/_views.py
@@ -1,4 +1,4 @@
-"""How answers look: tables for people, JSON for scripts."""
+"""Formats replies as tables for people and as JSON for scripts."""
 
 import json
 from collections.abc import Sequence
@@ -14,11 +14,11 @@
 from damaskcroft.membership import held_up_word
 from damaskcroft.records import InvalidRecord, deployment_for, parse_deployment
 
-_MS = 1000  # In a second.
+_MS_PER_S = 1000
 
 
 def table(headings: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
-    """Columns as wide as their content."""
+    """Returns a text table with columns as wide as their content."""
     lines = [list(headings), *[list(row) for row in rows]]
     widths = [max(len(line[i]) for line in lines) for i in range(len(headings))]
     return "\n".join(
@@ -30,7 +30,7 @@
 
 
 def record_json(record: records_pb2.Record) -> str:
-    """A record as it was written, with its revision."""
+    """Returns a record as it was written, with its revision."""
     document = json.loads(record.body)
     document["revision"] = record.revision
     document["withdrawn"] = record.withdrawn
@@ -38,12 +38,12 @@
 
 
 def reply_json(reply: control_pb2.ReadReply) -> str:
-    """The whole answer for scripts."""
+    """Returns the whole reply as JSON."""
     return json_format.MessageToJson(reply, preserving_proto_field_name=True)
 
 
 def records_table(reply: control_pb2.ReadReply) -> str:
-    """All records, one a line."""
+    """Returns a table of all records."""
     rows = [
         [
             record.kind,
@@ -60,7 +60,7 @@
 
 
 def quarantine_table(reply: quarantine_pb2.QuarantineReply) -> str:
-    """Requests that are refused since targets crashed under them."""
+    """Returns a table of requests refused because targets crashed on them."""
     rows = [
         [
             request.fingerprint.hex(),
@@ -74,13 +74,13 @@
 
 
 def limits_table(reply: limits_pb2.LimitsReply) -> str:
-    """Targets that name how many requests a second they take."""
+    """Returns a table of the rate limits that targets announce."""
     rows = [[limit.start_id, f"{limit.rate_s:g}"] for limit in reply.limits]
     return table(["TARGET", "REQUESTS_S"], sorted(rows))
 
 
 def status_text(reply: control_pb2.ReadReply) -> str:
-    """Leader, what is in force, and every holder."""
+    """Returns the leader, the progress of the revision and all holders."""
     behind = [
         holder
         for holder in reply.holders
@@ -102,7 +102,7 @@
 
 
 def explain_target(reply: control_pb2.ReadReply, target_id: str) -> list[str]:
-    """Why a target serves what it serves, from what was recorded."""
+    """Explains why a target serves its current version."""
     holders_by_id = {h.announcement.id: h for h in reply.holders}
     holder = holders_by_id.get(target_id)
     if holder is None:
@@ -115,32 +115,32 @@
         )
     if report.draining:
         lines.append("it is draining: it takes no new work")
-    wanted = deployment_for(holder.announcement, reply.records)
-    if not isinstance(wanted, records_pb2.Deployment):
+    deployment = deployment_for(holder.announcement, reply.records)
+    if not isinstance(deployment, records_pb2.Deployment):
         lines.append("no record that this program can read asks for it")
         return lines
-    lines.append(f"record {wanted.name} asks for {wanted.version}")
-    if report.manifest == wanted.manifest:
+    lines.append(f"record {deployment.name} asks for {deployment.version}")
+    if report.manifest == deployment.manifest:
         lines.append("it serves what the record asks for")
         return lines
-    lines += _explain_missing(reply, holder, wanted)
+    lines += _explain_missing(reply, holder, deployment)
     lines += [f"event: {e}" for e in reply.events if target_id in e][-5:]
     return lines
 
 
 def describe_fault(fault: InvalidRecord) -> str:
-    """A record's fault with its field."""
+    """Returns a record's fault with its field."""
     return f"{fault.field or 'record'}: {fault.reason}"
 
 
-def deployment_of(
+def readable_deployment(
     record: records_pb2.Record,
 ) -> records_pb2.Deployment | None:
-    """A record's deployment, if it is one that can be read."""
+    """Returns a record's deployment; None if it is none or can't be parsed."""
     if record.kind != "deployment":
         return None
-    parsed = parse_deployment(record)
-    return parsed if isinstance(parsed, records_pb2.Deployment) else None
+    result = parse_deployment(record)
+    return result if isinstance(result, records_pb2.Deployment) else None
 
 
 def _holder_row(holder: control_pb2.HolderStatus) -> list[str]:
@@ -152,52 +152,57 @@
         announcement.role or "entry",
         announcement.failure_domain,
         "held" if holder.lease_held else f"lapsed {holder.silent_s:.0f}s",
-        _phase(report) if is_agent else "",
+        _format_phase(report) if is_agent else "",
         report.version,
         f"{burst.chunks_held}/{burst.chunks_total}" if is_agent else "",
-        _mib(burst.origin_bytes),
-        _mib(burst.store_bytes),
-        _mib(burst.peer_bytes),
-        _mib(burst.sent_bytes),
+        _format_mib(burst.origin_bytes),
+        _format_mib(burst.store_bytes),
+        _format_mib(burst.peer_bytes),
+        _format_mib(burst.sent_bytes),
     ]
 
 
-def _phase(report: control_pb2.TargetReport) -> str:
-    """A target's phase, with what holds its order up for over a second."""
+def _format_phase(report: control_pb2.TargetReport) -> str:
+    """Returns the phase, and what has blocked the order for over a second."""
     phase = control_pb2.Phase.Name(report.phase).removeprefix("PHASE_").lower()
-    if report.held_up_ms < _MS:
+    if report.held_up_ms < _MS_PER_S:
         return phase
-    return f"{phase} ({held_up_word(report.held_up_by)} {_held_up_s(report)})"
+    return (
+        f"{phase} ({held_up_word(report.held_up_by)}"
+        f" {_format_held_up_time(report)})"
+    )
 
 
-def _held_up_s(report: control_pb2.TargetReport) -> str:
-    return f"{report.held_up_ms / _MS:.0f}s"
+def _format_held_up_time(report: control_pb2.TargetReport) -> str:
+    return f"{report.held_up_ms / _MS_PER_S:.0f}s"
 
 
-def _mib(size_bytes: int) -> str:
+def _format_mib(size_bytes: int) -> str:
     return f"{size_bytes / 2**20:.1f}M" if size_bytes else ""
 
 
 def _explain_missing(
     reply: control_pb2.ReadReply,
     holder: control_pb2.HolderStatus,
-    wanted: records_pb2.Deployment,
+    deployment: records_pb2.Deployment,
 ) -> list[str]:
     report, burst = holder.report, holder.report.burst
     lines = []
     if report.held_up_ms:
-        word = held_up_word(report.held_up_by)
-        lines.append(f"its order is held up: {word} for {_held_up_s(report)}")
+        reason = held_up_word(report.held_up_by)
+        lines.append(
+            f"its order is held up: {reason} for {_format_held_up_time(report)}"
+        )
     if report.failure:
         lines.append(f"the target refused or failed: {report.failure}")
-    if report.staged_manifest != wanted.manifest:
+    if report.staged_manifest != deployment.manifest:
         lines.append(
             f"weights are on their way: {burst.chunks_held} of "
             f"{burst.chunks_total} chunks"
         )
         return lines
     assigned = {a.target: a for a in reply.assignments}.get(report.id)
-    if assigned is None or assigned.manifest != wanted.manifest:
+    if assigned is None or assigned.manifest != deployment.manifest:
         lines.append("weights are here; its turn in the rollout has not come")
     else:
         lines.append(
--- a/damaskcroft/ctl/_why.py
+++ b/damaskcroft/ctl/_why.py
@@ -1,19 +1,19 @@
-"""What became of one request, from the logs of all processes.
+"""Explains the outcome of one request from the logs of all processes.
 
-Tells the request's way in order, what else happened to the processes and
-targets that it met, and the cause in one line.
+The report contains the request's log lines in order, related events of the
+processes and targets involved, and the cause in one line.
 """
 
 from collections.abc import Iterable
 
-from damaskcroft.ctl._causes import Met, cause
+from damaskcroft.ctl._causes import Context, explain_outcome
 from damaskcroft.ctl._log_lines import Line
 
 __all__ = ["story"]
 
-# Changes of belief so long before a request may have decided it.
-_BEFORE_S = 10.0
-_BELIEFS = frozenset(
+# State changes this long before a request may have affected it.
+_LOOKBACK_S = 10.0
+_STATE_EVENTS = frozenset(
     {
         "configuration_applied",
         "control_in_touch",
@@ -25,37 +25,42 @@
         "weights_named",
     }
 )
-_OF_TARGETS = frozenset({"target_aside", "target_back", "target_changed"})
+_TARGET_EVENTS = frozenset({"target_aside", "target_back", "target_changed"})
 
 
 def story(request_id: str, lines: Iterable[Line]) -> list[str]:
-    """The request's way, and its cause as the last line; empty if unknown."""
+    """Returns the request's lines and, last, its cause; empty if unknown."""
     events = sorted(lines, key=lambda line: line.time)
-    own = [line for line in events if line.fields.get("request") == request_id]
-    if not own:
+    request_lines = [
+        line for line in events if line.fields.get("request") == request_id
+    ]
+    if not request_lines:
         return []
-    told = [line.text() for line in own]
-    beside = _beside(own, events)
-    if beside:
-        told.append("what its processes and targets met meanwhile:")
-        told += [f"  {line.text()}" for line in beside]
-    met = Met(
-        before=beside,
-        later=_later(own[-1], events),
-        idle_agents=_idle_agents(own[-1], events),
+    report = [line.text() for line in request_lines]
+    context_lines = _context_lines(request_lines, events)
+    if context_lines:
+        report.append("what its processes and targets met meanwhile:")
+        report += [f"  {line.text()}" for line in context_lines]
+    context = Context(
+        lines_before=context_lines,
+        later_lines=_lines_after(request_lines[-1], events),
+        idle_agents=_idle_agents(request_lines[-1], events),
     )
-    told.append(f"cause: {cause(own, met)}")
-    return told
+    report.append(f"cause: {explain_outcome(request_lines, context)}")
+    return report
 
 
-def _later(last: Line, events: list[Line]) -> list[Line]:
-    """What the process of a line wrote after it."""
-    place = next(n for n, line in enumerate(events) if line is last)
-    return [e for e in events[place + 1 :] if e.process == last.process]
+def _lines_after(last: Line, events: list[Line]) -> list[Line]:
+    """Returns the lines of the same process after a line."""
+    index = next(n for n, line in enumerate(events) if line is last)
+    return [e for e in events[index + 1 :] if e.process == last.process]
 
 
 def _idle_agents(last: Line, events: list[Line]) -> list[str]:
-    """Agents that wanted no weights when a line of a service was written."""
+    """Returns agents without a desired version at the time of a line.
+
+    Only agents of the line's service are considered.
+    """
     path_by_agent: dict[str, str] = {}
     for line in events:
         if line.time > last.time:
@@ -66,20 +71,23 @@
     return sorted(agent for agent, path in path_by_agent.items() if not path)
 
 
-def _beside(own: list[Line], events: list[Line]) -> list[Line]:
-    processes = {line.process for line in own}
-    targets = {line.fields.get("target") for line in own} - {None}
-    since_s, until = own[0].at_s - _BEFORE_S, own[-1].time
+def _context_lines(request_lines: list[Line], events: list[Line]) -> list[Line]:
+    process_names = {line.process for line in request_lines}
+    targets = {line.fields.get("target") for line in request_lines} - {None}
+    start_s, end_time = (
+        request_lines[0].at_s - _LOOKBACK_S,
+        request_lines[-1].time,
+    )
     return [
         line
         for line in events
-        if line.process in processes
-        and line.at_s >= since_s
-        and line.time <= until
+        if line.process in process_names
+        and line.at_s >= start_s
+        and line.time <= end_time
         and (
-            line.event in _BELIEFS
+            line.event in _STATE_EVENTS
             or (
-                line.event in _OF_TARGETS
+                line.event in _TARGET_EVENTS
                 and line.fields.get("target", line.fields.get("id")) in targets
             )
         )
--- a/damaskcroft/ctl/main.py
+++ b/damaskcroft/ctl/main.py
@@ -1,7 +1,7 @@
-"""damaskctl: write, change, withdraw and watch records.
+"""The program damaskctl, with which operators manage and inspect a fleet.
 
-Exit codes: 0 done; 1 refused or not found; 2 bad arguments or settings; 4
-conflict with another operator; 5 no leader answered.
+Exit codes: 0 success; 1 refused or not found; 2 invalid arguments or settings;
+4 conflict with another operator; 5 no leader answered.
 """
 
 import asyncio
@@ -27,8 +27,8 @@
 _EXIT_USAGE = 2
 _EXIT_CONFLICT = 4
 _EXIT_NO_LEADER = 5
-_PATIENCE_S = 10.0
-_WATCH_EVERY_S = 1.0
+_LEADER_TIMEOUT_S = 10.0
+_WATCH_INTERVAL_S = 1.0
 _DEFAULT_CHUNK_BYTES = 4 * 1024 * 1024
 _MANIFEST_NAME = "manifest.pb"
 
@@ -83,7 +83,7 @@
     settings: Settings,
     undo: Annotated[bool, typer.Option(help="let it work again")] = False,
 ) -> None:
-    """Asks that a target get no new work."""
+    """Drains a target, so that it gets no new requests."""
     request = control_pb2.WriteRequest(kind="drain", name=target)
     if undo:
         request.withdraw = True
@@ -114,7 +114,7 @@
 
 @app.command()
 def status(settings: Settings, as_json: AsJson = False) -> None:
-    """Shows leader, leases, what is in force and every rollout."""
+    """Shows the leader, leases, applied revisions and rollouts."""
     reply = _read(settings)
     text = _views.reply_json if as_json else _views.status_text
     print(text(reply))
@@ -125,20 +125,20 @@
     settings: Settings,
     seconds: Annotated[float, typer.Option(help="how long")] = 3600.0,
 ) -> None:
-    """Shows the status again and again."""
-    end_at = time.monotonic() + seconds
-    while time.monotonic() < end_at:
+    """Shows the status repeatedly."""
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline:
         reply = _read(settings)
         print("\x1b[2J\x1b[H" if sys.stdout.isatty() else "")
         print(_views.status_text(reply))
         for event in list(reply.events)[-10:]:
             print(f"  {event}")
-        time.sleep(_WATCH_EVERY_S)
+        time.sleep(_WATCH_INTERVAL_S)
 
 
 @app.command()
 def explain(target: str, settings: Settings) -> None:
-    """Says why a target serves what it serves."""
+    """Explains why a target serves its current version."""
     for line in _views.explain_target(_read(settings), target):
         print(line)
 
@@ -151,16 +151,16 @@
         typer.Option(help="fingerprint of a request that may run again"),
     ] = None,
 ) -> None:
-    """Lists requests that are refused since targets crashed under them."""
+    """Lists requests that are refused because targets crashed on them."""
     try:
         fingerprints = [bytes.fromhex(text) for text in lift or ()]
     except ValueError as error:
         _fail(f"--lift needs a fingerprint: {error}", _EXIT_USAGE)
-    reply = _with_client(
+    reply = _run_with_client(
         settings, lambda client: client.quarantine(fingerprints)
     )
     if isinstance(reply, NoAnswer):
-        _fail_unanswered(reply)
+        _fail_without_answer(reply)
     print(_views.quarantine_table(reply))
     if reply.lifted < len(fingerprints):
         _fail("not all of them were known", _EXIT_REFUSED)
@@ -168,10 +168,10 @@
 
 @app.command()
 def limits(settings: Settings) -> None:
-    """Lists targets that name how many requests a second they take."""
-    reply = _with_client(settings, lambda client: client.limits())
+    """Lists the rate limits that targets announce."""
+    reply = _run_with_client(settings, lambda client: client.limits())
     if isinstance(reply, NoAnswer):
-        _fail_unanswered(reply)
+        _fail_without_answer(reply)
     print(_views.limits_table(reply))
 
 
@@ -182,17 +182,17 @@
         list[pathlib.Path], typer.Argument(help="log files of any processes")
     ],
 ) -> None:
-    """Tells from collected logs what became of one request, and why."""
+    """Explains the outcome of one request from collected logs."""
     lines: list[str] = []
     for path in logs:
         try:
             lines += path.read_text(errors="replace").splitlines()
         except OSError as error:
             _fail(f"{path}: {error}", _EXIT_USAGE)
-    told = _why.story(request_id, _log_lines.parsed(lines))
-    if not told:
+    report = _why.story(request_id, _log_lines.parsed(lines))
+    if not report:
         _fail(f"no line of these logs names {request_id}", _EXIT_REFUSED)
-    print("\n".join(told))
+    print("\n".join(report))
 
 
 @app.command()
@@ -229,17 +229,17 @@
     request.request_id = request_id or str(uuid.uuid4())
     request.operator = getpass.getuser()
 
-    async def work(client: ControlClient) -> Any:
+    async def operation(client: ControlClient) -> Any:
         expected = revision
         if expected is None:
-            seen = await client.read()
-            if isinstance(seen, NoAnswer):
-                return seen
-            expected = _revision_of(seen, request.kind, request.name)
+            current = await client.read()
+            if isinstance(current, NoAnswer):
+                return current
+            expected = _current_revision(current, request.kind, request.name)
         request.expected_revision = expected
         return await client.write(request)
 
-    reply = _with_client(settings, work)
+    reply = _run_with_client(settings, operation)
     if isinstance(reply, NoAnswer):
         _fail(
             f"no leader answered; resend with --request-id "
@@ -259,15 +259,15 @@
 
 
 def _read(settings: pathlib.Path) -> control_pb2.ReadReply:
-    reply = _with_client(settings, lambda client: client.read())
+    reply = _run_with_client(settings, lambda client: client.read())
     if isinstance(reply, NoAnswer):
         tried = ", ".join(reply.tried)
         _fail(f"no leader answered at {tried}", _EXIT_NO_LEADER)
     return reply
 
 
-def _with_client(
-    path: pathlib.Path, work: Callable[[ControlClient], Awaitable[Any]]
+def _run_with_client(
+    path: pathlib.Path, operation: Callable[[ControlClient], Awaitable[Any]]
 ) -> Any:
     settings = settings_or_exit(
         path, settings_pb2.OperatorSettings, check=False, reference=False
@@ -277,7 +277,9 @@
         pool = ChannelPool(load_keys(settings.keys))
         addresses = list(settings.control.addresses)
         try:
-            return await work(ControlClient(addresses, pool, _PATIENCE_S))
+            return await operation(
+                ControlClient(addresses, pool, _LEADER_TIMEOUT_S)
+            )
         finally:
             pool.close()
 
@@ -287,14 +289,16 @@
         _fail(str(error), _EXIT_USAGE)
 
 
-def _revision_of(reply: control_pb2.ReadReply, kind: str, name: str) -> int:
+def _current_revision(
+    reply: control_pb2.ReadReply, kind: str, name: str
+) -> int:
     for record in reply.records:
         if (record.kind, record.name) == (kind, name) and not record.withdrawn:
             return record.revision
     return 0
 
 
-def _fail_unanswered(reply: NoAnswer) -> Any:
+def _fail_without_answer(reply: NoAnswer) -> Any:
     tried = ", ".join(reply.tried)
     _fail(f"no control node answered at {tried}", _EXIT_NO_LEADER)
 
--- a/damaskcroft/ctl/tests/test_quarantine.py
+++ b/damaskcroft/ctl/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""What an operator is told of requests that crash targets."""
+"""Listing and explanation of quarantined requests for operators."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from damaskcroft.ctl._why import story
 
 
-def test_each_request_is_a_line():
+def test_each_quarantined_request_is_one_row():
     reply = quarantine_pb2.QuarantineReply()
     reply.requests.add(
         fingerprint=b"\x01\xab", start_ids=["a@1", "b@2"], left_s=599.6
@@ -37,7 +37,7 @@
         ),
     ],
 )
-def test_the_cause_of_a_refusal_is_told(fields, cause):
+def test_cause_of_a_refusal_is_reported(fields, cause):
     line = f"time=2026-01-01T10:00:00.000 process=e event=refused {fields}"
-    way = story("r-1", parsed([f"{line} request=r-1"]))
-    assert way[-1] == f"cause: {cause}"
+    report = story("r-1", parsed([f"{line} request=r-1"]))
+    assert report[-1] == f"cause: {cause}"
--- a/damaskcroft/ctl/tests/test_views.py
+++ b/damaskcroft/ctl/tests/test_views.py
@@ -1,4 +1,4 @@
-"""What operators see of a rollout that stands still."""
+"""Status and explanation of a stalled rollout."""
 
 from damaskcroft._generated import control_pb2
 from damaskcroft.ctl._views import explain_target, status_text
@@ -18,12 +18,12 @@
     return reply
 
 
-def test_status_says_what_holds_an_order_up():
+def test_status_shows_why_an_order_is_blocked():
     assert "activating (target_unreachable 12s)" in status_text(reply())
 
 
-def test_explain_says_so_too():
-    told = reply()
-    told.records.append(deployment_record("2", 2))
-    lines = explain_target(told, "drafting-0")
+def test_explain_shows_why_an_order_is_blocked():
+    read_reply = reply()
+    read_reply.records.append(deployment_record("2", 2))
+    lines = explain_target(read_reply, "drafting-0")
     assert "its order is held up: target_unreachable for 12s" in lines
--- a/damaskcroft/ctl/tests/test_why.py
+++ b/damaskcroft/ctl/tests/test_why.py
@@ -1,4 +1,4 @@
-"""Causes that are told from log lines alone."""
+"""Causes of request outcomes, derived from log lines alone."""
 
 import pytest
 
@@ -7,34 +7,34 @@
 
 
 def log(*lines, process="entry-1", day="2026-01-01"):
-    """Lines of one process, each beginning with its time of day."""
+    """Returns log lines of one process, given as time of day and event."""
     return [
         f"time={day}T{time} process={process} event={rest}"
         for time, rest in (line.split(" ", 1) for line in lines)
     ]
 
 
-def told(*lines):
+def explain(*lines):
     return story("r-1", parsed(lines))
 
 
-def test_what_happened_on_the_day_before_is_not_beside_a_request():
-    way = told(
+def test_events_long_before_midnight_are_not_related():
+    report = explain(
         *log("23:59:40.000 control_lost", day="2026-01-01"),
         *log("23:59:58.000 control_in_touch", day="2026-01-01"),
         *log("00:00:01.000 refused request=r-1 reason=stopping",
              day="2026-01-02"),
     )  # fmt: skip
-    assert any("control_in_touch" in line for line in way)
-    assert not any("control_lost" in line for line in way)
+    assert any("control_in_touch" in line for line in report)
+    assert not any("control_lost" in line for line in report)
 
 
-def test_a_line_that_was_cut_in_its_time_is_passed_over():
-    way = told(
+def test_line_with_truncated_timestamp_is_skipped():
+    report = explain(
         "time=2026-01-0 process=entry-1 event=starting",
         *log("10:00:00.000 refused request=r-1 reason=stopping"),
     )
-    assert way[-1] == "cause: the entry was about to end"
+    assert report[-1] == "cause: the entry was about to end"
 
 
 # --- Requests without an outcome ---------------------------------------------
@@ -49,62 +49,62 @@
 )
 
 
-def test_what_waited_in_line_is_lost_with_its_process():
-    way = told(
+def test_queued_request_is_lost_with_its_process():
+    report = explain(
         *log(QUEUED, "10:00:03.000 starting role=entry"),
         *log("10:00:02.000 starting role=entry", process="entry-2"),
     )
-    assert way[-1] == (
+    assert report[-1] == (
         "cause: waited in line at entry-1 since 2026-01-01T10:00:01.100,"
         " 18 waiting, while all targets were full; no line says that it was"
         " sent; entry-1 started anew at 2026-01-01T10:00:03.000: lost with it"
     )
 
 
-def test_what_was_sent_is_lost_with_its_process_and_may_have_run():
-    way = told(*log(SENT, "10:00:03.000 starting role=entry"))
-    assert way[-1] == (
+def test_sent_request_is_lost_with_its_process_and_may_have_run():
+    report = explain(*log(SENT, "10:00:03.000 starting role=entry"))
+    assert report[-1] == (
         "cause: sent to target t-1 at 10.0.0.1:80 by entry-1 at"
         " 2026-01-01T10:00:01.350, and may have run; entry-1 started anew at"
         " 2026-01-01T10:00:03.000: lost with it"
     )
 
 
-def test_a_start_of_another_process_loses_nothing():
-    way = told(
+def test_restart_of_another_process_loses_no_request():
+    report = explain(
         *log(SENT, "10:00:01.400 control_lost"),
         *log("10:00:03.000 starting role=entry", process="entry-2"),
     )
-    assert way[-1] == "cause: no outcome is logged; the last word is sent"
+    assert report[-1] == "cause: no outcome is logged; the last word is sent"
 
 
-def test_a_process_that_is_not_back_yet_is_named():
-    way = told(*log(SENT))
-    assert way[-1].endswith("and entry-1 wrote nothing after it")
+def test_process_without_later_lines_is_reported():
+    report = explain(*log(SENT))
+    assert report[-1].endswith("and entry-1 wrote nothing after it")
 
 
-def test_a_process_that_lived_past_a_requests_time_did_not_lose_it():
-    way = told(
+def test_restart_after_the_deadline_does_not_lose_the_request():
+    report = explain(
         *log(SENT, "10:00:09.000 control_lost", "10:00:11.000 starting x=1")
     )
-    assert "lost with it" not in way[-1]
-    assert "its time was over before entry-1 started anew" in way[-1]
+    assert "lost with it" not in report[-1]
+    assert "its time was over before entry-1 started anew" in report[-1]
 
 
-def test_lines_that_were_left_out_make_a_loss_uncertain():
+def test_suppressed_lines_make_a_loss_uncertain():
     summed = "10:00:02.000 log_lines_summed of={} reason= count=7"
     start = "10:00:03.000 starting role=entry"
-    certain = told(*log(SENT, summed.format("target_changed"), start))
+    certain = explain(*log(SENT, summed.format("target_changed"), start))
     assert certain[-1].endswith("lost with it")
-    uncertain = told(*log(SENT, summed.format("answered"), start))
+    uncertain = explain(*log(SENT, summed.format("answered"), start))
     assert uncertain[-1].endswith("or its later lines were left out of the log")
 
 
 # --- Failures of targets -----------------------------------------------------
 
 
-def test_a_failure_that_came_late_is_both():
-    way = told(
+def test_late_failure_is_reported_as_failure_and_late():
+    report = explain(
         *log(
             "10:00:01.000 attempt_failed request=r-1 target=t-1"
             " address=10.0.0.1:80 reason=status_503",
@@ -112,7 +112,7 @@
             " first_s=1.0 longest_gap_s=0 targets=1",
         )
     )
-    assert way[-1] == (
+    assert report[-1] == (
         "cause: target t-1 at 10.0.0.1:80 answered with 503, its own failure;"
         " answered late: 0.9 s in line for a target, longest pause 0 s"
     )
@@ -121,22 +121,22 @@
 # --- Refusals ----------------------------------------------------------------
 
 
-def test_weights_that_no_target_holds_are_named_with_their_version():
-    way = told(
+def test_missing_weights_are_reported_with_their_version():
+    report = explain(
         *log(
             "10:00:00.000 weights_named model=m version=2",
             "10:00:01.000 refused request=r-1 reason=no_weights ran=no"
             " service=s retry_after_s=0.7",
         )
     )
-    assert way[-1] == (
+    assert report[-1] == (
         "cause: no target of s holds the weights that are due, version 2; told"
         " to come back in 0.7 s"
     )
 
 
-def test_a_full_service_that_held_no_weights_before_says_both():
-    way = told(
+def test_overload_after_missing_weights_reports_both():
+    report = explain(
         *log(
             "10:00:00.250 queued request=r-1 reason=no_weights service=s"
             " waited_s=0.25 waiting=18 left_s=5.75",
@@ -144,20 +144,20 @@
             ' service=s detail="18 waiting" retry_after_s=None',
         )
     )
-    assert way[-1] == (
+    assert report[-1] == (
         "cause: every target of s was full, 18 waiting; 0.25 s after it came"
         " no target held the weights that were due"
     )
 
 
-def test_no_target_at_the_first_and_no_other_after_one_are_told_apart():
+def test_no_ready_target_differs_from_no_other_target():
     refused = (
         "10:00:01.000 refused request=r-1 reason=no_target ran={} service=s"
         " retry_after_s=None"
     )
-    first = told(*log(refused.format("no")))
+    first = explain(*log(refused.format("no")))
     assert first[-1] == "cause: no target of s was ready"
-    other = told(
+    other = explain(
         *log(
             "10:00:00.500 attempt_failed request=r-1 target=t-1"
             " address=10.0.0.1:80 reason=silent",
@@ -170,7 +170,7 @@
     )
 
 
-# --- Weights that are due ----------------------------------------------------
+# --- Weights past their expiry -----------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -196,8 +196,8 @@
         ),
     ],
 )
-def test_a_request_taken_back_says_what_time_it_had(within_s, connect_s, words):
-    way = told(
+def test_aborted_attempt_reports_its_remaining_time(within_s, connect_s, words):
+    report = explain(
         *log(
             "10:00:24.940 sent request=r-1 target=t-1 address=10.0.0.1:80"
             f" begins_within_s={within_s}",
@@ -207,64 +207,64 @@
             " service=s retry_after_s=None",
         )
     )
-    assert way[-1] == (
+    assert report[-1] == (
         "cause: refused as attempts_used; target t-1 at 10.0.0.1:80 failed: "
         + words
     )
 
 
-def test_a_connection_that_failed_is_not_said_to_be_kept():
-    way = told(
+def test_failed_connection_is_not_reported_as_kept():
+    report = explain(
         *log(
             "10:00:01.000 attempt_failed request=r-1 target=t-1"
             " address=10.0.0.1:80 reason=connect_timeout connect_s=None",
             "10:00:01.001 refused request=r-1 reason=unreachable ran=no",
         )
     )
-    assert way[-1].endswith("failed: connect_timeout")
+    assert report[-1].endswith("failed: connect_timeout")
 
 
-def test_agents_that_want_nothing_are_named_beside_a_want_of_weights():
-    """Only those of its service, by what they wanted when it was refused."""
-    wants = "{} weights_wanted service={} path={} named=None"
-    way = told(
-        *log(wants.format("09:00:00.000", "s", '""'), process="agent-2"),
-        *log(wants.format("09:00:00.000", "s", '""'), process="agent-1"),
-        *log(wants.format("09:00:00.000", "o", '""'), process="agent-3"),
+def test_agents_without_a_desired_version_are_listed_for_missing_weights():
+    """Lists agents of the request's service, as of the time of the refusal."""
+    wanted_line = "{} weights_wanted service={} path={} named=None"
+    report = explain(
+        *log(wanted_line.format("09:00:00.000", "s", '""'), process="agent-2"),
+        *log(wanted_line.format("09:00:00.000", "s", '""'), process="agent-1"),
+        *log(wanted_line.format("09:00:00.000", "o", '""'), process="agent-3"),
         *log(
-            wants.format("09:00:00.000", "s", '""'),
-            wants.format("09:00:01.000", "s", "m/1"),
+            wanted_line.format("09:00:00.000", "s", '""'),
+            wanted_line.format("09:00:01.000", "s", "m/1"),
             process="agent-4",
         ),
         *log(
             "10:00:01.000 refused request=r-1 reason=no_weights ran=no"
             " service=s retry_after_s=None",
         ),
-        *log(wants.format("10:00:02.000", "s", '""'), process="agent-4"),
+        *log(wanted_line.format("10:00:02.000", "s", '""'), process="agent-4"),
     )
-    assert way[-1] == (
+    assert report[-1] == (
         "cause: no target of s holds the weights that are due; these agents"
         " wanted none: agent-1, agent-2"
     )
 
 
-# --- Who was kept waiting ----------------------------------------------------
+# --- Delayed answers ---------------------------------------------------------
 
 LEFT = "10:00:03.000 caller_left request=r-1 after_s=1.9"
 
 
-def test_a_caller_that_left_says_what_it_waited_for():
-    assert told(*log(LEFT))[-1] == "cause: the caller left after 1.9 s"
-    in_line = told(*log(QUEUED, LEFT))
-    assert in_line[-1].endswith("after 1.9 s, in line all that time")
-    at_target = told(*log(QUEUED, SENT, LEFT))
+def test_disconnect_reports_what_the_caller_waited_for():
+    assert explain(*log(LEFT))[-1] == "cause: the caller left after 1.9 s"
+    queued = explain(*log(QUEUED, LEFT))
+    assert queued[-1].endswith("after 1.9 s, in line all that time")
+    at_target = explain(*log(QUEUED, SENT, LEFT))
     assert at_target[-1].endswith(
         "after 1.9 s, while target t-1 at 10.0.0.1:80 had it"
     )
 
 
-def test_a_late_answer_names_the_targets_that_failed_before():
-    way = told(
+def test_late_answer_lists_earlier_failed_targets():
+    report = explain(
         *log(
             "10:00:01.000 attempt_failed request=r-1 target=t-1"
             " address=10.0.0.1:80 reason=silent",
@@ -272,7 +272,7 @@
             " first_s=1.4 longest_gap_s=0.1 targets=2",
         )
     )
-    assert way[-1] == (
+    assert report[-1] == (
         "cause: answered late: first event 1.4 s after it came, at the target,"
         " 2 targets were tried, longest pause 0.1 s; target t-1 at"
         " 10.0.0.1:80 failed: silent"
