--- a/damaskcroft/__init__.py
+++ b/damaskcroft/__init__.py
@@ -1,3 +1,6 @@
-"""Brings new model weights to serving instances while they answer requests."""
+"""Delivers model weights to serving instances and routes requests to them.
+
+Weights are updated while the instances continue to answer requests.
+"""
 
 __all__: list[str] = []
--- a/damaskcroft/_later.py
+++ b/damaskcroft/_later.py
@@ -1,7 +1,7 @@
-"""Names of a package whose modules are imported when they are first used.
+"""Lazy imports of a package's modules, on the first use of a name (PEP 562).
 
 A hosted program starts within some tenths of a second of processor time, most
-of it imports; what it never uses it should not pay for (PEP 562).
+of which is spent on imports. Modules that it never uses must not add to that.
 """
 
 import importlib
@@ -14,17 +14,17 @@
 def imported_later(
     package: str, module_by_name: Mapping[str, str]
 ) -> Callable[[str], Any]:
-    """A package's `__getattr__`.
+    """Returns a `__getattr__` for a package.
 
     Args:
-        package: its `__name__`.
-        module_by_name: in which of its modules each name is.
+        package: `__name__` of the package.
+        module_by_name: the submodule that defines each name.
     """
 
-    def find(name: str) -> Any:
+    def get_attribute(name: str) -> Any:
         module = module_by_name.get(name)
         if module is None:
             raise AttributeError(f"module {package!r} has no {name!r}")
         return getattr(importlib.import_module(f"{package}.{module}"), name)
 
-    return find
+    return get_attribute
--- a/damaskcroft/clock.py
+++ b/damaskcroft/clock.py
@@ -1,4 +1,4 @@
-"""The one clock that decisions are made by."""
+"""Event loop with the clock on which all decisions are based."""
 
 import asyncio
 import selectors
@@ -11,17 +11,17 @@
 _T = TypeVar("_T")
 
 
-# Rounds of callbacks between two looks at sockets: as many as it takes to hand
-# what has come on through a few tasks, and well under a millisecond.
-_MAX_ROUNDS = 8
+# Maximum rounds of callbacks between two polls of the sockets: enough to pass a
+# message through a few tasks, and well under a millisecond in total.
+_MAX_ROUNDS_PER_POLL = 8
 
 
-class _SparingSelector(selectors.DefaultSelector):
-    """Asks the kernel less often while callbacks are ready.
+class _ThrottledSelector(selectors.DefaultSelector):
+    """Polls the kernel less often while callbacks are ready.
 
     The loop polls before each round of callbacks, and a message that passes
-    through several tasks takes several rounds; a system call for each would
-    cost more than the rounds themselves.
+    through several tasks takes several rounds. A system call for each round
+    would cost more than the rounds themselves.
     """
 
     def __init__(self) -> None:
@@ -29,41 +29,42 @@
         self._rounds = 0
 
     def select(self, timeout=None):
-        """See selectors.BaseSelector."""
-        polls = timeout is not None and timeout <= 0
-        if polls and self._rounds < _MAX_ROUNDS:
+        """Skips up to `_MAX_ROUNDS_PER_POLL` polls that would not block."""
+        is_poll = timeout is not None and timeout <= 0
+        if is_poll and self._rounds < _MAX_ROUNDS_PER_POLL:
             self._rounds += 1
             return []
         self._rounds = 0
         return super().select(timeout)
 
 
-class _LastingLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock also counts time in which the machine is suspended.
+class _BoottimeLoop(asyncio.SelectorEventLoop):
+    """Event loop whose clock includes time in which the machine is suspended.
 
-    What others promise and expect goes on meanwhile, so that to all code a
-    suspension is a freeze. A wait in the selector itself doesn't count it: a
-    timer may fire late by as much, unless anything else wakes the loop.
+    Leases and deadlines of other processes continue to run during a
+    suspension, so that all code sees it as a freeze. The selector's own wait
+    doesn't include it: a timer may fire late by the length of the suspension,
+    unless something else wakes the loop.
     """
 
     def __init__(self) -> None:
-        super().__init__(_SparingSelector())
+        super().__init__(_ThrottledSelector())
 
     def time(self) -> float:
-        """Seconds since the machine was started, suspended or not."""
+        """Returns seconds since the machine's boot, including suspensions."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def now_s() -> float:
-    """The running loop's clock, in seconds; it never goes back.
+    """Returns the time of the running loop in seconds; it is monotonic.
 
-    In a program it counts suspensions, see `run`. A test may run the loop in
-    virtual time; wall clocks are never asked.
+    In a program the time includes suspensions, see `run`. A test may run the
+    loop in virtual time, therefore no wall clock is read.
     """
     return asyncio.get_running_loop().time()
 
 
 def run(work: Coroutine[Any, Any, _T]) -> _T:
-    """Runs a program's work to its end, on a clock that counts suspensions."""
-    with asyncio.Runner(loop_factory=_LastingLoop) as runner:
+    """Runs a coroutine to its end, on a clock that includes suspensions."""
+    with asyncio.Runner(loop_factory=_BoottimeLoop) as runner:
         return runner.run(work)
--- a/damaskcroft/tasks.py
+++ b/damaskcroft/tasks.py
@@ -1,4 +1,4 @@
-"""Work that goes on beside other work: kept up, and ended in bounded time."""
+"""Background tasks: restarted on failure, cancelled within bounded time."""
 
 import asyncio
 import contextlib
@@ -12,105 +12,106 @@
 
 Work = Callable[[], Awaitable[None]]
 
-# Between a failure that nobody foresaw and the next beginning: long enough
-# that one which comes again at once costs little.
-_BEGIN_AGAIN_S = 0.5
+# Delay between an unexpected failure and the restart: long enough that repeated
+# immediate failures cost little.
+_RESTART_DELAY_S = 0.5
 
-# How long tasks that were cancelled may take to end, before they are told once
-# more: one that waited for another may have taken the first word for its.
-_END_S = 2.0
-_TRIES = 3
+# How long cancelled tasks may take to end before they are cancelled again: a
+# task that waited for another may have taken the first cancellation for that of
+# the other.
+_CANCEL_TIMEOUT_S = 2.0
+_CANCEL_ATTEMPTS = 3
 
 
 class Signal:
-    """Wakes all who wait for something to change, in the order of waiting.
+    """Notifies all waiters of a change, in the order in which they waited.
 
     Attributes:
-        count: how often it was given.
+        count: number of notifications so far.
     """
 
-    __slots__ = ("_waiting", "count")
+    __slots__ = ("_waiters", "count")
 
     def __init__(self) -> None:
-        """Was never given."""
+        """Starts without notifications or waiters."""
         self.count = 0
-        self._waiting: dict[asyncio.Future[None], None] = {}
+        self._waiters: dict[asyncio.Future[None], None] = {}
 
     def give(self) -> None:
-        """Wakes whoever waits."""
+        """Counts a notification and wakes all waiters."""
         self.count += 1
-        for waiting in self._waiting:
-            _wake(waiting)
-        self._waiting.clear()
+        for waiter in self._waiters:
+            _wake(waiter)
+        self._waiters.clear()
 
-    async def wait(self, seen: int, timeout_s: float = math.inf) -> int:
-        """Waits until it was given more often than `seen`, or for a time.
+    async def wait(self, seen_count: int, timeout_s: float = math.inf) -> int:
+        """Waits until the count exceeds `seen_count`, or until the timeout.
 
         Args:
-            seen: its count when whoever waits last looked.
+            seen_count: count when the caller last checked the state.
             timeout_s: longest wait.
 
         Returns:
-            How often it was given by now.
+            The current count.
         """
-        if self.count > seen:
+        if self.count > seen_count:
             return self.count
         loop = asyncio.get_running_loop()
-        waiting = loop.create_future()
-        self._waiting[waiting] = None
+        waiter = loop.create_future()
+        self._waiters[waiter] = None
         timer = None
         if timeout_s < math.inf:
-            timer = loop.call_later(timeout_s, _wake, waiting)
+            timer = loop.call_later(timeout_s, _wake, waiter)
         try:
-            await waiting
+            await waiter
         finally:
             if timer is not None:
                 timer.cancel()
-            self._waiting.pop(waiting, None)
+            self._waiters.pop(waiter, None)
         return self.count
 
     async def next(self, timeout_s: float = math.inf) -> int:
-        """Waits until it is given once more, or for a time; see `wait`."""
+        """Waits for the next notification, or until the timeout; see `wait`."""
         return await self.wait(self.count, timeout_s)
 
 
-def _wake(waiting: asyncio.Future[None]) -> None:
-    if not waiting.done():
-        waiting.set_result(None)
+def _wake(waiter: asyncio.Future[None]) -> None:
+    if not waiter.done():
+        waiter.set_result(None)
 
 
 async def kept_up(work: Work) -> None:
-    """Does work that should go on for ever; begins again when it fails.
+    """Runs work that should never end, and restarts it when it fails.
 
-    A task that ends by a failure of ours would else be missed in silence: a
-    process without the task that keeps its lease looks well and serves
-    nothing.
+    Without the restart, a task that ends by a programming error would go
+    unnoticed: a process without the task that renews its lease looks healthy
+    and serves nothing.
     """
     while True:
         try:
             await work()
             return
         except Exception as error:
-            name = _name(work)
+            name = _qualified_name(work)
             metrics.TASK_FAILURES.labels(name).inc()
             log_warning("task_failed", task=name, reason=repr(error))
-        await asyncio.sleep(_BEGIN_AGAIN_S)
+        await asyncio.sleep(_RESTART_DELAY_S)
 
 
-def _name(work: Work) -> str:
+def _qualified_name(work: Work) -> str:
     if isinstance(work, functools.partial):
-        return _name(work.func)
+        return _qualified_name(work.func)
     return getattr(work, "__qualname__", type(work).__name__)
 
 
 @contextlib.asynccontextmanager
 async def background(
-    *works: Work, end_s: float = _END_S
+    *works: Work, end_s: float = _CANCEL_TIMEOUT_S
 ) -> AsyncIterator[None]:
-    """Keeps work up beside the block, and ends it with the block.
+    """Runs work during the block, and cancels it at the end of the block.
 
     Args:
-        *works: begin again when they fail.
+        *works: task functions, restarted when they fail.
         end_s: see `end_all`.
     """
     tasks = [asyncio.create_task(kept_up(work)) for work in works]
@@ -123,39 +124,42 @@
 async def cancelled(task: asyncio.Task | None) -> None:
     """Cancels a task, if there is one, and waits until it has ended.
 
-    How it ended is not raised here; whoever waits may itself be cancelled.
+    A failure of the task is logged and not raised. The caller may itself be
+    cancelled while it waits.
     """
     if task is None:
         return
     while not task.done():
-        # Told again until it hears: a library may take a cancellation for its
-        # own, and the task goes on as if nothing had been said.
+        # The cancellation is repeated because a library may take it for its own
+        # and suppress it, so that the task continues.
         task.cancel()
-        await asyncio.wait([task], timeout=_END_S)
-    _note_failure(task)
+        await asyncio.wait([task], timeout=_CANCEL_TIMEOUT_S)
+    _log_failure(task)
 
 
-async def end_all(tasks: Iterable[asyncio.Task], end_s: float = _END_S) -> None:
-    """Cancels tasks and waits for them, but not for ever.
+async def end_all(
+    tasks: Iterable[asyncio.Task], end_s: float = _CANCEL_TIMEOUT_S
+) -> None:
+    """Cancels tasks and waits for them for a bounded time.
 
     Args:
-        tasks: told three times at most.
-        end_s: wait after each time.
+        tasks: each is cancelled three times at most.
+        end_s: longest wait after each cancellation.
     """
-    waiting = set(tasks)
-    for _ in range(_TRIES):
-        if not waiting:
+    pending = set(tasks)
+    for _ in range(_CANCEL_ATTEMPTS):
+        if not pending:
             return
-        for task in waiting:
+        for task in pending:
             task.cancel()
-        done, waiting = await asyncio.wait(waiting, timeout=end_s)
+        done, pending = await asyncio.wait(pending, timeout=end_s)
         for task in done:
-            _note_failure(task)
-    for task in waiting:
+            _log_failure(task)
+    for task in pending:
         log_event("task_left", task=task.get_coro())
 
 
-def _note_failure(task: asyncio.Task) -> None:
+def _log_failure(task: asyncio.Task) -> None:
     if task.cancelled() or task.exception() is None:
         return
     log_event("task_failed", task=task.get_coro(), reason=task.exception())
--- a/damaskcroft/tests/test_clock.py
+++ b/damaskcroft/tests/test_clock.py
@@ -1,26 +1,26 @@
-"""How often a program's loop asks the kernel, and that it always does."""
+"""How often a program's event loop polls the kernel for I/O."""
 
 import asyncio
 import socket
 
 from damaskcroft.clock import run
 
-CHAIN = 6
+QUEUE_COUNT = 6
 
 
-async def through(queues):
-    """Hands one thing on from queue to queue, a task for each."""
+async def pass_through(queues):
+    """Passes a message from queue to queue, with a task for each step."""
     for before, after in zip(queues, queues[1:], strict=False):
-        asyncio.create_task(hand_on(before, after))  # noqa: RUF006
+        asyncio.create_task(forward(before, after))  # noqa: RUF006
     queues[0].put_nowait("message")
     await queues[-1].get()
 
 
-async def hand_on(before, after):
+async def forward(before, after):
     after.put_nowait(await before.get())
 
 
-def test_a_message_through_many_tasks_asks_the_kernel_seldom(monkeypatch):
+def test_message_through_many_tasks_needs_few_polls(monkeypatch):
     polls = 0
 
     async def scenario():
@@ -34,13 +34,13 @@
             return select(self, timeout)
 
         monkeypatch.setattr(type(selector).__mro__[1], "select", counted)
-        await through([asyncio.Queue() for _ in range(CHAIN)])
+        await pass_through([asyncio.Queue() for _ in range(QUEUE_COUNT)])
 
     run(scenario())
     assert polls <= 3
 
 
-def test_sockets_are_looked_at_while_callbacks_never_end():
+def test_sockets_are_polled_while_callbacks_are_always_ready():
     async def scenario():
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
@@ -48,11 +48,11 @@
         reader, writer = await asyncio.open_connection(sock=ours)
         theirs.sendall(b"x")
         async with asyncio.timeout(5):
-            got = await reader.readexactly(1)
+            received = await reader.readexactly(1)
         busy.cancel()
         writer.close()
         theirs.close()
-        return got
+        return received
 
     async def spin():
         while True:
--- a/damaskcroft/tests/test_tasks.py
+++ b/damaskcroft/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks are ended, whatever they do about it."""
+"""Cancellation and restart of tasks, and notification of waiters."""
 
 import asyncio
 
@@ -7,18 +7,18 @@
 from damaskcroft.tasks import Signal, background, cancelled, end_all
 
 
-def test_whoever_waits_for_another_to_end_may_be_cancelled(loop):
-    """Its own cancellation must not be taken for the other's."""
+def test_cancelling_task_may_itself_be_cancelled(loop):
+    """Its own cancellation must not be taken for that of the other task."""
 
     async def scenario():
-        async def slow_to_end():
+        async def end_slowly():
             try:
                 await asyncio.sleep(100)
             finally:
                 await asyncio.sleep(1)
 
         async def outer():
-            work = asyncio.create_task(slow_to_end())
+            work = asyncio.create_task(end_slowly())
             await asyncio.sleep(0)
             await cancelled(work)
             await asyncio.sleep(100)
@@ -33,43 +33,46 @@
     loop.run(scenario())
 
 
-def test_a_task_that_overhears_one_word_is_told_again(loop):
+def test_tasks_that_ignore_one_cancellation_are_cancelled_again(loop):
     async def scenario():
-        async def deaf_once():
+        async def ignore_one_cancellation():
             try:
                 await asyncio.sleep(100)
             except asyncio.CancelledError:
                 await asyncio.sleep(100)
 
-        async def never():
+        async def ignore_cancellation():
             while True:
                 try:
                     await asyncio.sleep(100)
                 except asyncio.CancelledError:
                     continue
 
-        tasks = [asyncio.create_task(deaf_once()) for _ in range(3)]
-        stuck = asyncio.create_task(never())
+        tasks = [
+            asyncio.create_task(ignore_one_cancellation()) for _ in range(3)
+        ]
+        stuck = asyncio.create_task(ignore_cancellation())
         await asyncio.sleep(0)
-        began_at = loop.time()
+        started_at = loop.time()
         await end_all([*tasks, stuck])
         assert all(task.done() for task in tasks)
-        assert loop.time() - began_at < 7
+        assert loop.time() - started_at < 7
 
     loop.run(scenario())
 
 
-def test_work_that_hears_no_word_holds_its_block_up_no_longer_than_told(loop):
-    # Against a program that its platform kills while it waits for such work.
+def test_uncancellable_work_delays_its_block_no_longer_than_allowed(loop):
+    # Guards against a program that waits for such work at exit until its
+    # platform kills it.
     async def scenario():
-        async def never():
+        async def ignore_cancellation():
             while True:
                 try:
                     await asyncio.sleep(100)
                 except asyncio.CancelledError:
                     continue
 
-        async with background(never, end_s=0.1):
+        async with background(ignore_cancellation, end_s=0.1):
             await asyncio.sleep(1.0)
             ended_at = loop.time()
         assert loop.time() - ended_at < 0.5
@@ -77,7 +80,7 @@
     loop.run(scenario())
 
 
-def test_what_failed_before_is_told_and_not_raised(loop):
+def test_earlier_failure_of_a_task_is_not_raised(loop):
     async def scenario():
         async def fails():
             raise ValueError("disk")
@@ -91,12 +94,12 @@
     loop.run(scenario())
 
 
-def test_work_that_should_never_end_begins_again_after_a_failure(loop, caplog):
-    begun = []
+def test_endless_work_restarts_after_a_failure(loop, caplog):
+    start_times = []
 
     async def follows():
-        begun.append(loop.time())
-        if len(begun) < 3:
+        start_times.append(loop.time())
+        if len(start_times) < 3:
             raise KeyError("not foreseen")
         await asyncio.sleep(1e6)
 
@@ -105,22 +108,22 @@
             await asyncio.sleep(30.0)
 
     loop.run(scenario())
-    assert len(begun) == 3
-    told = [text for text in caplog.messages if "event=task_failed" in text]
-    assert len(told) == 2
-    assert "follows" in told[0]
-    assert "not foreseen" in told[0]
+    assert len(start_times) == 3
+    failures = [text for text in caplog.messages if "event=task_failed" in text]
+    assert len(failures) == 2
+    assert "follows" in failures[0]
+    assert "not foreseen" in failures[0]
 
 
-def test_one_task_that_overhears_its_cancellation_is_told_again(loop):
+def test_single_task_that_ignores_a_cancellation_is_cancelled_again(loop):
     async def scenario():
-        async def deaf_once():
+        async def ignore_one_cancellation():
             try:
                 await asyncio.sleep(1e6)
             except asyncio.CancelledError:
                 await asyncio.sleep(1e6)
 
-        task = asyncio.create_task(deaf_once())
+        task = asyncio.create_task(ignore_one_cancellation())
         await asyncio.sleep(0)
         async with asyncio.timeout(10):
             await cancelled(task)
@@ -129,7 +132,7 @@
     loop.run(scenario())
 
 
-def test_a_signal_wakes_all_who_wait_and_is_not_missed(loop):
+def test_signal_wakes_all_waiters_and_is_not_missed(loop):
     async def scenario():
         signal = Signal()
         seen = signal.count
@@ -137,12 +140,12 @@
         await asyncio.sleep(1)
         signal.give()
         assert await asyncio.gather(*waiting) == [seen + 1] * 3
-        # Given between the look and the wait.
-        began_at = loop.time()
+        # Notified between the check and the wait.
+        started_at = loop.time()
         assert await signal.wait(seen) == seen + 1
-        assert loop.time() == began_at
-        # Not given: the time ends the wait.
+        assert loop.time() == started_at
+        # Without a notification, the timeout ends the wait.
         assert await signal.wait(seen + 1, 2.0) == seen + 1
-        assert loop.time() == pytest.approx(began_at + 2)
+        assert loop.time() == pytest.approx(started_at + 2)
 
     loop.run(scenario())
--- a/damaskcroft/units.py
+++ b/damaskcroft/units.py
@@ -1,11 +1,11 @@
-"""Units of the platform's figures in those of the code."""
+"""Converts the platform's units into those of the code."""
 
 __all__ = ["bytes_per_s"]
 
-_MEGA = 1_000_000
-_BITS = 8
+_BITS_PER_MEGABIT = 1_000_000
+_BITS_PER_BYTE = 8
 
 
 def bytes_per_s(mbps: float) -> float:
-    """A link's rate, from megabits a second."""
-    return mbps * _MEGA / _BITS
+    """Converts a link's rate from megabits per second."""
+    return mbps * _BITS_PER_MEGABIT / _BITS_PER_BYTE
