--- a/damaskcroft/http1/__init__.py
+++ b/damaskcroft/http1/__init__.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 towards callers and targets, over h11 and httptools.
+"""HTTP/1.1 server for callers and client for targets, over h11 and httptools.
 
-A high-level client or server hides facts that decide what may be repeated:
-which kept connection answered, whether any byte was sent or read, whether a
-body was whole, when the caller left. So both faces drive parsers over asyncio
-(RFC 9110, RFC 9112).
+A high-level client or server hides facts that decide whether a request may be
+repeated: which persistent connection answered, whether any byte was sent or
+read, whether a body was complete, when the caller disconnected. Therefore both
+the server and the client drive parsers over asyncio (RFC 9110, RFC 9112).
 """
 
 from damaskcroft.http1._channel import Channel, ChannelLostError, connect
@@ -14,10 +14,10 @@
 )
 from damaskcroft.http1._closing import Lingering, closing_answer
 from damaskcroft.http1._ending import (
-    EndingServer,
     EndTimes,
+    GracefulServer,
     drained,
-    end_server,
+    shut_down_server,
 )
 from damaskcroft.http1._exchange import (
     Answer,
@@ -42,7 +42,7 @@
     "ConnectionPool",
     "CutShortError",
     "EndTimes",
-    "EndingServer",
+    "GracefulServer",
     "Head",
     "Headers",
     "NoAnswerError",
@@ -53,7 +53,7 @@
     "connect",
     "closing_answer",
     "drained",
-    "end_server",
+    "shut_down_server",
     "retry_after_s",
     "stop_listening",
 ]
--- a/damaskcroft/http1/_answers.py
+++ b/damaskcroft/http1/_answers.py
@@ -1,9 +1,9 @@
-"""Answers out of a target's bytes, by httptools (the parser of Node.js).
+"""Parser of a target's answers, by httptools (the parser of Node.js).
 
-Each event of a stream is a chunk of its body, and an entry handles hundreds of
-them a second; h11, written in Python, takes a tenth of its time for them. The
-parser is strict: two lengths, a length beside chunks, a bare line feed
-or folded headers are no answer.
+Each event of a stream is a chunk of the body, and an entry handles hundreds of
+them a second; h11, written in Python, takes a tenth of an entry's time for
+them. The parser is strict: it rejects two content lengths, a content length
+together with chunked encoding, bare line feeds and folded headers.
 """
 
 import collections
@@ -13,34 +13,34 @@
 
 from damaskcroft.http1._head import Head, Headers, is_interim
 
-__all__ = ["AnswerParser", "Broken", "Ended"]
+__all__ = ["AnswerParser", "AnswerFailure", "AnswerComplete"]
 
 _MAX_HEAD_BYTES = 64 * 1024
-_WITHOUT_BODY = frozenset({204, 304})
-# An answer that would change the protocol is none to our requests.
-_NO_ANSWER = (httptools.HttpParserError, httptools.HttpParserUpgrade)
+_BODILESS_STATUSES = frozenset({204, 304})
+# Requests never ask for an upgrade, so an upgrade is a parser error here.
+_PARSER_ERRORS = (httptools.HttpParserError, httptools.HttpParserUpgrade)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
-    """An answer is whole."""
+class AnswerComplete:
+    """An answer is complete."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Broken:
-    """What came is no answer, or ends before its end."""
+class AnswerFailure:
+    """The bytes are no valid answer, or the answer is truncated."""
 
     reason: str
 
 
 class AnswerParser:
-    """Reads the answers of one connection, one after another.
+    """Parses the successive answers on one connection.
 
     Attributes:
-        keeps_open: whether the connection may carry another request after the
-            last whole answer.
-        without_body: whether the next answer has none, whatever its head says:
-            the answer to a HEAD request (RFC 9112, 6.3).
+        is_persistent: whether the connection may carry another request after
+            the last complete answer.
+        is_bodiless: whether the next answer has no body regardless of its
+            head, because it answers a HEAD request (RFC 9112, 6.3).
     """
 
     __slots__ = (
@@ -51,116 +51,118 @@
         "_in_body",
         "_in_message",
         "_parser",
-        "_until_close",
-        "keeps_open",
-        "without_body",
+        "_ends_at_close",
+        "is_persistent",
+        "is_bodiless",
     )
 
     def __init__(self) -> None:
-        """Has read nothing yet."""
+        """Creates a parser that has received no bytes."""
         self._parser = httptools.HttpResponseParser(self)
-        self._events: collections.deque[Head | bytes | Ended | Broken] = (
-            collections.deque()
-        )
+        self._events: collections.deque[
+            Head | bytes | AnswerComplete | AnswerFailure
+        ] = collections.deque()
         self._headers: Headers = []
-        # Parts of a body that came with the same bytes are one part.
+        # Chunks of a body received in one read are joined into one part.
         self._body: list[bytes] = []
         self._head_bytes = 0
         self._in_message = False
         self._in_body = False
-        self._until_close = False
-        self.keeps_open = False
-        self.without_body = False
+        self._ends_at_close = False
+        self.is_persistent = False
+        self.is_bodiless = False
 
     @property
-    def is_between(self) -> bool:
-        """Whether nothing has come since the last whole answer."""
+    def is_between_answers(self) -> bool:
+        """Whether nothing was received since the last complete answer."""
         return not (self._events or self._in_message)
 
-    def next(self) -> Head | bytes | Ended | Broken | None:
-        """What came next, in order; None if that is not here yet."""
+    def next(self) -> Head | bytes | AnswerComplete | AnswerFailure | None:
+        """Returns the next event in order; None if none is available yet."""
         return self._events.popleft() if self._events else None
 
     def receive(self, data: bytes) -> None:
-        """Takes bytes as they came."""
+        """Parses bytes received from the target."""
         if not self._in_body:
             self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
-        except _NO_ANSWER as error:
-            self._end_part()
-            self._events.append(Broken(f"malformed: {error}"))
+        except _PARSER_ERRORS as error:
+            self._flush_body()
+            self._events.append(AnswerFailure(f"malformed: {error}"))
             return
-        self._end_part()
+        self._flush_body()
         if not self._in_body and self._head_bytes > _MAX_HEAD_BYTES:
-            self._events.append(Broken("malformed: a head without end"))
+            self._events.append(AnswerFailure("malformed: a head without end"))
 
     def end(self, *, clean: bool) -> None:
-        """The target has closed its side.
+        """Handles that the target has closed its side.
 
         Args:
-            clean: whether by its FIN, not by a reset.
+            clean: whether the connection ended by a FIN rather than a reset.
         """
-        if self._until_close and clean:
-            self._until_close = False
+        if self._ends_at_close and clean:
+            self._ends_at_close = False
             self._in_message = False
-            self._events.append(Ended())
+            self._events.append(AnswerComplete())
             return
         self._events.append(
-            Broken("ended early" if clean else "connection reset")
+            AnswerFailure("ended early" if clean else "connection reset")
         )
 
     # --- Called by httptools -------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """An answer begins."""
-        self._end_part()
+        """Begins a new answer."""
+        self._flush_body()
         self._in_message = True
         self._in_body = False
         self._headers = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header, or a trailer, which nobody asks for."""
+        """Records a header; trailers are ignored because nothing uses them."""
         if not self._in_body:
-            # The parser keeps spaces after a value (RFC 9110, 5.5).
+            # The parser keeps trailing whitespace of a value (RFC 9110, 5.5).
             self._headers.append((name.lower(), value.rstrip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        """A head is whole."""
+        """Emits the head and determines how the body is framed."""
         status = self._parser.get_status_code()
         self._in_body = True
         self._head_bytes = 0
         self._events.append(Head(status, self._headers))
         if is_interim(status):
             return
-        if self.without_body:
-            self._end_without_body()
+        if self.is_bodiless:
+            self._complete_bodiless()
             return
-        self.keeps_open = self._parser.should_keep_alive()
+        self.is_persistent = self._parser.should_keep_alive()
         names = {name for name, _ in self._headers}
-        framed = names & {b"content-length", b"transfer-encoding"}
-        self._until_close = not framed and status not in _WITHOUT_BODY
+        framing_headers = names & {b"content-length", b"transfer-encoding"}
+        self._ends_at_close = (
+            not framing_headers and status not in _BODILESS_STATUSES
+        )
 
     def on_body(self, body: bytes) -> None:
-        """Some bytes of a body."""
+        """Buffers some bytes of a body."""
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """An answer has ended."""
-        self._end_part()
+        """Completes the answer, unless it is an interim one."""
+        self._flush_body()
         self._in_message = False
         self._in_body = False
-        self._until_close = False
+        self._ends_at_close = False
         if not is_interim(self._parser.get_status_code()):
-            self._events.append(Ended())
+            self._events.append(AnswerComplete())
 
-    def _end_without_body(self) -> None:
-        # The parser waits for a body that doesn't come.
-        self.keeps_open = False
+    def _complete_bodiless(self) -> None:
+        # The parser would wait for a body that is never sent.
+        self.is_persistent = False
         self._in_message = False
-        self._events.append(Ended())
+        self._events.append(AnswerComplete())
 
-    def _end_part(self) -> None:
+    def _flush_body(self) -> None:
         if self._body:
             self._events.append(b"".join(self._body))
             self._body.clear()
--- a/damaskcroft/http1/_channel.py
+++ b/damaskcroft/http1/_channel.py
@@ -1,4 +1,4 @@
-"""A TCP connection that tells its ends apart: half closed, closed, reset."""
+"""A TCP connection that distinguishes half-close, close and reset."""
 
 import asyncio
 import contextlib
@@ -7,28 +7,29 @@
 
 __all__ = ["Channel", "ChannelLostError", "connect"]
 
-# Bytes kept unread before the peer is asked to wait.
+# Unread bytes beyond which reading is paused, so that TCP slows the peer.
 _MAX_UNREAD_BYTES = 256 * 1024
-# Silence on unacknowledged bytes that ends a connection: three times the
-# retransmission of a packet lost twice in a row (RFC 6298: 0.2 + 0.4 s).
-_UNACKNOWLEDGED_MS = 2000
-# Linger for no time: closing sends a reset (socket(7)).
-_RESET = struct.pack("ii", 1, 0)
+# Time without an acknowledgement after which a connection is given up: three
+# times the retransmission time of a packet lost twice in a row (RFC 6298:
+# 0.2 + 0.4 s).
+_UNACKNOWLEDGED_TIMEOUT_MS = 2000
+# SO_LINGER with a time of zero: closing sends a reset (socket(7)).
+_LINGER_ZERO = struct.pack("ii", 1, 0)
 
 
 class ChannelLostError(Exception):
-    """The connection is gone; nothing more can be sent or read."""
+    """The connection is lost; nothing more can be sent or read."""
 
 
 class Channel(asyncio.Protocol):
-    """One connection, read and written by one task.
+    """One connection, read from and written to by one task.
 
     Attributes:
-        ended: whether the peer has sent its last byte.
-        lost: whether the connection is gone altogether.
-        clean_end: whether it ended by the peer's FIN, not by a reset.
-        when_ended: done when `ended` is set.
-        when_lost: done when `lost` is set.
+        ended: whether the peer has closed its direction.
+        lost: whether both directions are closed.
+        clean_end: whether it ended by the peer's FIN rather than a reset.
+        when_ended: completes when `ended` is set.
+        when_lost: completes when `lost` is set.
     """
 
     def __init__(self) -> None:
@@ -49,14 +50,14 @@
     # --- Called by asyncio -------------------------------------------------
 
     def connection_made(self, transport) -> None:
-        """See asyncio.Protocol."""
+        """Stores the transport and disables Nagle's algorithm."""
         self._transport = transport
         peer = transport.get_extra_info("socket")
         if peer is not None:
             peer.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def data_received(self, data: bytes) -> None:
-        """See asyncio.Protocol."""
+        """Buffers received bytes; pauses reading when too many are unread."""
         self._unread += data
         self._readable.set()
         if len(self._unread) > _MAX_UNREAD_BYTES and not self._reading_paused:
@@ -64,13 +65,13 @@
             self.transport.pause_reading()
 
     def eof_received(self) -> bool:
-        """See asyncio.Protocol; keeps our own direction open."""
+        """Records the peer's half-close; keeps our own direction open."""
         self.clean_end = True
         self._end()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """See asyncio.Protocol."""
+        """Records that the connection is lost and wakes its waiters."""
         self.clean_end = self.clean_end and exc is None
         self.lost = True
         self._end()
@@ -79,11 +80,11 @@
             self.when_lost.set_result(None)
 
     def pause_writing(self) -> None:
-        """See asyncio.Protocol."""
+        """Makes `drain` wait."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """See asyncio.Protocol."""
+        """Lets `drain` return."""
         self._writable.set()
 
     def _end(self) -> None:
@@ -96,10 +97,10 @@
 
     @property
     def transport(self) -> asyncio.Transport:
-        """The transport below.
+        """The underlying transport.
 
         Raises:
-            ChannelLostError: not connected yet.
+            ChannelLostError: the channel is not connected yet.
         """
         if self._transport is None:
             raise ChannelLostError("not connected")
@@ -107,22 +108,22 @@
 
     @property
     def has_unread(self) -> bool:
-        """Whether bytes have come that nobody has read."""
+        """Whether received bytes have not been read yet."""
         return bool(self._unread)
 
     @property
     def is_readable(self) -> bool:
-        """Whether `read` gives something, or the end, at once."""
+        """Whether `read` returns without waiting."""
         return bool(self._unread) or self.ended
 
     async def readable(self) -> None:
-        """Waits until bytes have come or the peer has ended."""
+        """Waits until bytes are received or the peer has closed its side."""
         while not self.is_readable:
             self._readable.clear()
             await self._readable.wait()
 
     async def read(self) -> bytes:
-        """All bytes that have come; empty once the peer has ended."""
+        """Returns all received bytes; empty once the peer has closed."""
         await self.readable()
         data = bytes(self._unread)
         self._unread.clear()
@@ -131,58 +132,58 @@
             self.transport.resume_reading()
         return data
 
-    def put(self, data: bytes) -> None:
-        """Hands bytes to the kernel or its queue, without waiting.
+    def write(self, data: bytes) -> None:
+        """Writes bytes to the transport without waiting.
 
         Raises:
-            ChannelLostError: the connection is gone.
+            ChannelLostError: the connection is lost.
         """
         if self.lost or self.transport.is_closing():
             raise ChannelLostError("connection lost")
         self.transport.write(data)
 
     async def drain(self) -> None:
-        """Waits while the peer reads too slowly.
+        """Waits while the write buffer is full because the peer reads slowly.
 
         Raises:
-            ChannelLostError: the connection is gone.
+            ChannelLostError: the connection is lost.
         """
         await self._writable.wait()
         if self.lost:
             raise ChannelLostError("connection lost")
 
     async def flush(self) -> None:
-        """Waits until the kernel has all that was put; nothing follows it.
+        """Waits until the kernel has all written bytes; no more may be written.
 
         Raises:
-            ChannelLostError: the connection is gone.
+            ChannelLostError: the connection is lost.
         """
         self.transport.set_write_buffer_limits(high=0)
         await self.drain()
 
     def half_close(self) -> None:
-        """Ends our own direction after what was put; reading goes on."""
+        """Closes our direction after the written bytes; reading continues."""
         if self.lost or self.transport.is_closing():
             return
         with contextlib.suppress(OSError):
-            # Reset by the peer meanwhile; asyncio will tell so.
+            # The peer has reset the connection; asyncio calls connection_lost.
             self.transport.write_eof()
 
     def close(self) -> None:
-        """Closes after what was put is sent; unread bytes reset it."""
+        """Closes after sending written bytes; unread bytes cause a reset."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Resets the connection at once; what has not arrived is dropped.
+        """Resets the connection at once and discards unsent bytes.
 
-        A plain close would let the kernel go on delivering what was sent.
+        A plain close would let the kernel continue to deliver sent bytes.
         """
         if self._transport is None:
             return
         with contextlib.suppress(OSError):
             peer = self._transport.get_extra_info("socket")
-            peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+            peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
         self._transport.abort()
 
 
@@ -190,15 +191,18 @@
     """Opens a connection.
 
     Raises:
-        OSError: refused, unreachable, or not open in time (TimeoutError).
+        OSError: the connection was refused, the address is unreachable, or
+            the time ran out (TimeoutError).
     """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(timeout_s):
         _, channel = await loop.create_connection(Channel, host, int(port))
     with contextlib.suppress(OSError):
-        # A peer without power or behind a cut never resets the connection.
+        # A peer that lost power or is cut off never resets the connection.
         channel.transport.get_extra_info("socket").setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS
+            socket.IPPROTO_TCP,
+            socket.TCP_USER_TIMEOUT,
+            _UNACKNOWLEDGED_TIMEOUT_MS,
         )
     return channel
--- a/damaskcroft/http1/_client.py
+++ b/damaskcroft/http1/_client.py
@@ -1,37 +1,41 @@
-"""One kept connection to a target, one request at a time."""
+"""A persistent connection to a target that carries one request at a time."""
 
 from collections.abc import Callable
 
 import h11
 
-from damaskcroft.http1._answers import AnswerParser, Broken, Ended
+from damaskcroft.http1._answers import (
+    AnswerComplete,
+    AnswerFailure,
+    AnswerParser,
+)
 from damaskcroft.http1._channel import Channel, ChannelLostError
 from damaskcroft.http1._head import Head, Headers, is_interim
 
 __all__ = ["CutShortError", "NoAnswerError", "TargetConnection"]
 
-# Interim and crossed answers skipped before a connection is given up.
+# Interim and unrelated answers skipped before a connection is given up.
 _MAX_SKIPPED = 8
 
 
 class NoAnswerError(Exception):
-    """The connection gave no answer to the request that was sent on it."""
+    """The connection returned no answer to the request sent on it."""
 
 
 class CutShortError(Exception):
-    """An answer began and did not come whole."""
+    """An answer began but is truncated."""
 
 
 class TargetConnection:
     """A connection to one target.
 
     Attributes:
-        address: where it leads.
-        target_id: the target that it was opened for.
-        answered: how many answers it has given.
+        address: address of the target.
+        target_id: the target that the connection was opened for.
+        answered: number of complete answers received.
         idle_since: loop time at which the last answer ended.
-        kept_s: how long the target says it keeps idle connections; 0 if it
-            doesn't say.
+        keep_alive_s: time for which the target announces to keep idle
+            connections open; 0 if it announces none.
     """
 
     __slots__ = (
@@ -40,30 +44,34 @@
         "address",
         "answered",
         "idle_since",
-        "kept_s",
+        "keep_alive_s",
         "target_id",
     )
 
     def __init__(self, channel: Channel, address: str, target_id: str):
-        """Uses an open channel."""
+        """Creates a connection over an open channel."""
         self._channel = channel
         self._parser = AnswerParser()
         self.address = address
         self.target_id = target_id
         self.answered = 0
         self.idle_since = 0.0
-        self.kept_s = 0.0
+        self.keep_alive_s = 0.0
 
     @property
-    def is_silent(self) -> bool:
-        """Whether nothing has come on it since the last answer ended."""
+    def has_no_unread_input(self) -> bool:
+        """Whether nothing was received since the last answer ended."""
         return not (self._channel.ended or self._channel.has_unread)
 
     @property
     def is_reusable(self) -> bool:
-        """Whether another request may be sent on it."""
+        """Whether another request may be sent on the connection."""
         parser = self._parser
-        return parser.keeps_open and parser.is_between and self.is_silent
+        return (
+            parser.is_persistent
+            and parser.is_between_answers
+            and self.has_no_unread_input
+        )
 
     async def send(
         self, method: bytes, target: bytes, headers: Headers, body: bytes
@@ -71,13 +79,14 @@
         """Sends one request.
 
         Args:
-            method: as the caller sent it.
-            target: path and query as the caller sent them.
-            headers: of the request; framing is added here.
-            body: the whole body.
+            method: method as sent by the caller.
+            target: path and query as sent by the caller.
+            headers: headers of the request; framing headers are added here.
+            body: the complete body.
 
         Raises:
-            NoAnswerError: the connection was lost; part may have arrived.
+            NoAnswerError: the connection was lost; a part of the request may
+                have arrived.
         """
         writer = h11.Connection(h11.CLIENT)
         framed = [*headers, *_framing(method, body)]
@@ -86,58 +95,60 @@
         if body:
             data += writer.send(h11.Data(data=body)) or b""
         data += writer.send(h11.EndOfMessage()) or b""
-        self._parser.keeps_open = False
-        self._parser.without_body = method == b"HEAD"
+        self._parser.is_persistent = False
+        self._parser.is_bodiless = method == b"HEAD"
         try:
-            self._channel.put(data)
+            self._channel.write(data)
             await self._channel.drain()
         except ChannelLostError as error:
             raise NoAnswerError("lost while sending") from error
 
-    async def read_head(self, is_ours: Callable[[Head], bool]) -> Head:
-        """Reads the head of the answer, past those of other requests.
+    async def read_head(self, is_for_request: Callable[[Head], bool]) -> Head:
+        """Reads the head of the answer, skipping answers to other requests.
 
         Args:
-            is_ours: whether an answer's head belongs to the request.
+            is_for_request: tells whether an answer's head belongs to the
+                request.
 
         Raises:
-            NoAnswerError: none came, or bytes that are no answer.
+            NoAnswerError: the connection ended without an answer, or sent
+                bytes that are no valid answer.
         """
         for _ in range(_MAX_SKIPPED):
             head = await self._next()
-            if isinstance(head, Broken):
+            if isinstance(head, AnswerFailure):
                 raise NoAnswerError(head.reason)
             if not isinstance(head, Head):
                 raise NoAnswerError("a body without a head")
             if is_interim(head.status):
                 continue
-            if is_ours(head):
-                self._note_kept(head)
+            if is_for_request(head):
+                self._read_keep_alive(head)
                 return head
-            await self._skip_crossed()
+            await self._skip_unrelated_answer()
         raise NoAnswerError("too many answers of other requests")
 
     async def read_part(self) -> bytes:
-        """The next bytes of the body; empty when it has ended whole.
+        """Returns the next bytes of the body; empty when it is complete.
 
         Raises:
-            CutShortError: it ended before its end.
+            CutShortError: the body is truncated.
         """
         part = await self._next()
         if isinstance(part, bytes):
             return part
-        if isinstance(part, Ended):
+        if isinstance(part, AnswerComplete):
             self.answered += 1
             return b""
         raise CutShortError(
-            part.reason if isinstance(part, Broken) else "a second head"
+            part.reason if isinstance(part, AnswerFailure) else "a second head"
         )
 
     def close(self) -> None:
-        """Closes at once, so that the target stops its work."""
+        """Resets the connection, so that the target stops its work."""
         self._channel.abort()
 
-    async def _next(self) -> Head | bytes | Ended | Broken:
+    async def _next(self) -> Head | bytes | AnswerComplete | AnswerFailure:
         while True:
             event = self._parser.next()
             if event is not None:
@@ -148,20 +159,20 @@
             else:
                 self._parser.end(clean=self._channel.clean_end)
 
-    async def _skip_crossed(self) -> None:
-        """Reads over another request's answer; ours may follow it."""
+    async def _skip_unrelated_answer(self) -> None:
+        """Skips another request's answer; the expected one may follow."""
         while True:
             event = await self._next()
-            if isinstance(event, Ended):
+            if isinstance(event, AnswerComplete):
                 return
-            if isinstance(event, Broken):
+            if isinstance(event, AnswerFailure):
                 raise NoAnswerError(event.reason)
 
-    def _note_kept(self, head: Head) -> None:
+    def _read_keep_alive(self, head: Head) -> None:
         for part in head.value(b"keep-alive").split(","):
             name, _, seconds = part.strip().partition("=")
             if name.lower() == "timeout" and seconds.isdecimal():
-                self.kept_s = float(seconds)
+                self.keep_alive_s = float(seconds)
 
 
 def _framing(method: bytes, body: bytes) -> Headers:
--- a/damaskcroft/http1/_ending.py
+++ b/damaskcroft/http1/_ending.py
@@ -1,16 +1,17 @@
-"""One way to end a server, whichever HTTP library is below it.
+"""Graceful shutdown of a server, independent of its HTTP library.
 
 A caller that has read an answer without `Connection: close` may send its next
-request at once, and many client libraries drop whatever comes behind an
-answer. So an end is told before it comes:
+request at once, and many client libraries discard bytes that follow an answer.
+Therefore a shutdown is announced before connections are closed:
 
-1. Notice: each answer is its connection's last and says so. Connections are
-   still accepted.
-2. No more connections are accepted. One that has waited for a request for a
-   while is ended by a 408 (see `_closing`); what is under way is answered.
-3. Ended connections are read until their callers close them.
+1. Notice: each answer is the last one of its connection and says so with
+   `Connection: close`. New connections are still accepted.
+2. No more connections are accepted. A connection that has waited for a request
+   for a while is closed by a 408 (see `_closing`); requests being processed
+   are answered.
+3. Half-closed connections are read until their callers close them.
 
-Each step has a bound, and ends sooner once no connection is open.
+Each step has a maximum length, and ends early once no connection is open.
 """
 
 import abc
@@ -20,30 +21,31 @@
 from damaskcroft.observe import log_event
 
 __all__ = [
-    "AT_ONCE",
-    "QUIET_S",
+    "IMMEDIATE_SHUTDOWN",
+    "MIN_IDLE_S",
     "EndTimes",
-    "EndingServer",
+    "GracefulServer",
     "drained",
-    "end_server",
+    "shut_down_server",
 ]
 
-_POLL_S = 0.02
-# Between an answer that kept its connection and the 408 that ends it, so that
-# nobody reads both at once.
-QUIET_S = 0.2
+_POLL_INTERVAL_S = 0.02
+# Least time between an answer that kept its connection open and the 408 that
+# closes it, so that no caller receives both in one read.
+MIN_IDLE_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndTimes:
-    """How long each step may last.
+    """Maximum lengths of the steps of a shutdown.
 
     Attributes:
-        notice_s: of the first step, from the notice on.
-        listen_s: until connections are no longer accepted, from the notice on.
-        told_s: until callers that have all been told should have closed their
-            connections, from the call on.
-        within_s: until what is still under way is cut, from the call on.
+        notice_s: time from the notice to the end of the first step.
+        listen_s: time from the notice until connections are no longer
+            accepted.
+        told_s: time from the call within which callers should have closed
+            their connections if all connections are half closed.
+        within_s: time from the call until remaining requests are cancelled.
     """
 
     notice_s: float
@@ -52,17 +54,17 @@
     within_s: float
 
 
-AT_ONCE = EndTimes(0.0, 0.0, 0.0, 0.0)
+IMMEDIATE_SHUTDOWN = EndTimes(0.0, 0.0, 0.0, 0.0)
 
 
-class EndingServer(abc.ABC):
-    """A server as its end sees it.
+class GracefulServer(abc.ABC):
+    """Interface of a server that can be shut down gracefully.
 
     Attributes:
-        address: where it listens.
+        address: address on which the server listens.
         noticed_at: loop time of the notice; None before it.
-        queued: connections that the kernel still held when it stopped
-            listening; they are served.
+        queued: number of connections that the kernel still held in its queue
+            when the server stopped listening; they are served.
     """
 
     address = ""
@@ -70,56 +72,56 @@
     queued = 0
 
     def give_notice(self) -> None:
-        """Makes each answer from now on its connection's last."""
+        """Makes each answer from now on the last one of its connection."""
         if self.noticed_at is None:
             self.noticed_at = asyncio.get_running_loop().time()
 
     @property
     @abc.abstractmethod
-    def is_used(self) -> bool:
-        """Whether a connection is open, or a request is worked on."""
+    def is_active(self) -> bool:
+        """Whether a connection is open or a request is being processed."""
 
     @property
     @abc.abstractmethod
     def open_count(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
 
     @property
     @abc.abstractmethod
     def answering(self) -> int:
-        """How many requests are being answered."""
+        """Number of requests being answered."""
 
     @property
     @abc.abstractmethod
-    def are_all_told(self) -> bool:
-        """Whether each open connection only waits for its caller's end."""
+    def only_lingering_open(self) -> bool:
+        """Whether all open connections only wait for their callers to close."""
 
     @abc.abstractmethod
     async def stop_listening(self) -> None:
-        """Accepts no more; may be called again."""
+        """Stops accepting connections; may be called again."""
 
     @abc.abstractmethod
-    def close_idle(self, quiet_s: float = 0.0) -> None:
-        """Ends connections that have waited for a request for so long."""
+    def close_idle(self, min_idle_s: float = 0.0) -> None:
+        """Closes connections that have waited `min_idle_s` for a request."""
 
     @abc.abstractmethod
     async def close(self) -> None:
-        """Cuts what is left, in bounded time."""
+        """Cancels remaining requests, in bounded time."""
 
 
-async def drained(server: EndingServer, times: EndTimes) -> None:
-    """Takes a server through its end, up to what must be cut."""
-    await _drained_since(asyncio.get_running_loop().time(), server, times)
+async def drained(server: GracefulServer, times: EndTimes) -> None:
+    """Drains a server within the given times; cancels no requests."""
+    await _drain_since(asyncio.get_running_loop().time(), server, times)
 
 
-async def end_server(server: EndingServer, times: EndTimes) -> None:
-    """Ends a server; logs what it left."""
+async def shut_down_server(server: GracefulServer, times: EndTimes) -> None:
+    """Shuts a server down; logs the requests cancelled and connections left."""
     loop = asyncio.get_running_loop()
     began_at = loop.time()
-    await _drained_since(began_at, server, times)
+    await _drain_since(began_at, server, times)
     await server.stop_listening()
-    # Once more, for connections that the kernel still held.
-    await _drained_since(began_at, server, times)
+    # Repeated for connections that the kernel still held in its queue.
+    await _drain_since(began_at, server, times)
     cut, left_open = server.answering, server.open_count
     await server.close()
     log_event(
@@ -135,19 +137,19 @@
         )
 
 
-async def _drained_since(
-    began_at: float, server: EndingServer, times: EndTimes
+async def _drain_since(
+    began_at: float, server: GracefulServer, times: EndTimes
 ) -> None:
     loop = asyncio.get_running_loop()
     server.give_notice()
     noticed_at = server.noticed_at or began_at
-    while server.is_used and loop.time() - began_at < times.within_s:
+    while server.is_active and loop.time() - began_at < times.within_s:
         noticed_s = loop.time() - noticed_at
         if noticed_s >= times.listen_s:
             await server.stop_listening()
         if noticed_s >= times.notice_s:
-            server.close_idle(QUIET_S)
-        told_over = loop.time() - began_at >= times.told_s
-        if told_over and server.are_all_told:
+            server.close_idle(MIN_IDLE_S)
+        is_close_wait_over = loop.time() - began_at >= times.told_s
+        if is_close_wait_over and server.only_lingering_open:
             return
-        await asyncio.sleep(_POLL_S)
+        await asyncio.sleep(_POLL_INTERVAL_S)
--- a/damaskcroft/http1/_exchange.py
+++ b/damaskcroft/http1/_exchange.py
@@ -1,4 +1,4 @@
-"""A caller's request, the answer to it, and who gives it."""
+"""A caller's request, the answer to it, and the interface of handlers."""
 
 import abc
 import dataclasses
@@ -14,14 +14,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send and how long it may take.
+    """Maximum sizes and times of a caller's requests.
 
     Attributes:
-        head_bytes: longest request line and headers.
-        body_bytes: longest body.
-        head_timeout_s: from a head's first byte to its last, and between
-            two parts of a body.
-        idle_timeout_s: between requests.
+        head_bytes: maximum size of request line and headers.
+        body_bytes: maximum size of a body.
+        head_timeout_s: maximum time from a head's first byte to its last, and
+            between two parts of a body.
+        idle_timeout_s: maximum time between requests.
     """
 
     head_bytes: int = 16 * 1024
@@ -32,13 +32,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """One whole request.
+    """One complete request.
 
     Attributes:
-        method: for example b"POST".
+        method: method, for example b"POST".
         target: path and query as sent.
         headers: names in lower case and values, in order.
-        body: the whole body.
+        body: the complete body.
         arrived_at: loop time at which its last byte was read.
     """
 
@@ -49,15 +49,15 @@
     arrived_at: float
 
     def value(self, name: bytes) -> str:
-        """A header's value, or empty when it isn't there."""
-        for known, value in self.headers:
-            if known == name:
+        """Returns a header's value, or an empty string if it is absent."""
+        for header, value in self.headers:
+            if header == name:
                 return value.decode("latin-1")
         return ""
 
 
 class Answer:
-    """The answer to one request, given whole or part by part."""
+    """The answer to one request, sent at once or part by part."""
 
     __slots__ = ("_channel", "_closing", "_parser", "begun", "ended")
 
@@ -67,7 +67,7 @@
         channel: Channel,
         closing: Callable[[], bool],
     ):
-        """Answers on a connection; `closing` asks to end it afterwards."""
+        """Creates the answer; `closing` tells whether it is the last one."""
         self._parser = parser
         self._channel = channel
         self._closing = closing
@@ -81,14 +81,14 @@
 
     @property
     def is_last(self) -> bool:
-        """Whether the connection ends after this answer."""
+        """Whether the connection is closed after this answer."""
         return self._closing()
 
     async def give(self, status: int, headers: Headers, body: bytes) -> None:
-        """Gives a whole answer, without waiting until the caller reads it.
+        """Sends a complete answer, without waiting until the caller reads it.
 
         Raises:
-            ChannelLostError: the caller has gone.
+            ChannelLostError: the caller has disconnected.
         """
         length = (b"content-length", str(len(body)).encode())
         data = self._head(status, [*headers, length])
@@ -96,59 +96,59 @@
             data += self._parser.send(h11.Data(data=body)) or b""
         data += self._parser.send(h11.EndOfMessage()) or b""
         self.ended = True
-        self._channel.put(data)
+        self._channel.write(data)
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Gives the head of an answer whose length isn't known."""
-        self._channel.put(self._head(status, headers))
+        """Sends the head of an answer whose length is unknown."""
+        self._channel.write(self._head(status, headers))
 
     async def part(self, body: bytes) -> None:
-        """Gives some bytes of the body, after `begin`."""
-        self._channel.put(self._parser.send(h11.Data(data=body)) or b"")
+        """Sends some bytes of the body, after `begin`."""
+        self._channel.write(self._parser.send(h11.Data(data=body)) or b"")
         await self._channel.drain()
 
     async def end(self) -> None:
-        """Ends the answer as complete; see `give`."""
-        self._channel.put(self._parser.send(h11.EndOfMessage()) or b"")
+        """Sends the end of the body, so that the answer is complete."""
+        self._channel.write(self._parser.send(h11.EndOfMessage()) or b"")
         self.ended = True
 
     def interim(self) -> None:
-        """Says that the request is being worked on (RFC 2518, 10.1).
+        """Sends a 102: the request is being processed (RFC 2518, 10.1).
 
-        A caller that has closed its connection answers with a reset. One that
-        speaks HTTP/1.0 is told nothing: it knows no interim answers (RFC 9110,
-        15.2) and would take this one for the whole.
+        A caller that has closed its connection replies with a reset. Nothing is
+        sent to an HTTP/1.0 caller, because HTTP/1.0 has no interim answers
+        (RFC 9110, 15.2) and the caller would read it as the final one.
         """
         if self._parser.their_http_version == b"1.0":
             return
         processing = h11.InformationalResponse(status_code=102, headers=[])
-        self._channel.put(self._parser.send(processing) or b"")
+        self._channel.write(self._parser.send(processing) or b"")
 
     def _head(self, status: int, headers: Headers) -> bytes:
         if self._closing():
             headers = [*headers, (b"connection", b"close")]
         response = h11.Response(status_code=status, headers=headers)
         data = self._parser.send(response) or b""
-        # Not before: a head that was refused leaves room for another one.
+        # Set after encoding: if h11 rejects the head, another one can be sent.
         self.begun = True
         return data
 
 
 class CallerHandler(abc.ABC):
-    """Answers requests of callers."""
+    """Interface of an object that answers the requests of callers."""
 
     @abc.abstractmethod
     async def handle(self, request: CallerRequest, answer: Answer) -> None:
-        """Answers one request; cancelled when its caller leaves."""
+        """Answers one request; cancelled when the caller disconnects."""
 
     @abc.abstractmethod
     def limits(self) -> CallerLimits:
-        """The limits in force."""
+        """Returns the limits in force."""
 
     @abc.abstractmethod
     def is_stopping(self) -> bool:
-        """Whether each answer should be its connection's last."""
+        """Whether each answer should be the last one of its connection."""
 
     @abc.abstractmethod
     def refused(self, status: int, reason: str) -> Headers:
-        """Notes a request refused unread; gives headers for the answer."""
+        """Records a request refused unread; returns headers for the answer."""
--- a/damaskcroft/http1/_head.py
+++ b/damaskcroft/http1/_head.py
@@ -22,25 +22,25 @@
     headers: Headers
 
     def value(self, name: bytes) -> str:
-        """A header's value, or empty when it isn't there.
+        """Returns a header's value, or an empty string if it is absent.
 
         Args:
-            name: in lower case.
+            name: name of the header in lower case.
         """
-        for known, value in self.headers:
-            if known == name:
+        for header, value in self.headers:
+            if header == name:
                 return value.decode("latin-1")
         return ""
 
     def values(self, name: bytes) -> list[str]:
-        """The values of all headers of a name, which is in lower case."""
+        """Returns the values of all headers with a name in lower case."""
         return [
             value.decode("latin-1")
-            for known, value in self.headers
-            if known == name
+            for header, value in self.headers
+            if header == name
         ]
 
 
 def is_interim(status: int) -> bool:
-    """Whether the answer itself is still to come (RFC 9110, 15.2)."""
+    """Whether a status is interim: a final answer follows (RFC 9110, 15.2)."""
     return status < _FIRST_FINAL_STATUS
--- a/damaskcroft/http1/_idle_limits.py
+++ b/damaskcroft/http1/_idle_limits.py
@@ -1,4 +1,4 @@
-"""For how long connections may wait for a request while that limit changes."""
+"""Idle timeout of connections while the configured value changes."""
 
 import dataclasses
 
@@ -6,26 +6,27 @@
 
 
 class IdleLimits:
-    """The limit of idleness in force, and longer ones that still bind.
+    """The idle timeout in force, and longer past ones that still apply.
 
-    A caller reuses a connection by the limit that it knows. So each connection
-    is kept for the longest that was in force since it began to wait: a longer
-    one holds for those that wait already, a shorter one ends none of them.
+    A caller reuses a connection by the timeout that it knows. Therefore each
+    connection is kept for the longest timeout in force since it became idle: a
+    longer one applies to connections already idle, a shorter one closes none
+    of them.
     """
 
     __slots__ = ("_in_force_s", "_past")
 
     def __init__(self, limit_s: float):
-        """Begins with a limit, in seconds."""
+        """Starts with an idle timeout in seconds."""
         self._in_force_s = limit_s
-        # Longer than the one in force, the longest and oldest first.
+        # Past timeouts longer than the one in force, longest and oldest first.
         self._past: list[_PastLimit] = []
 
     def note(self, limit_s: float, now: float) -> None:
-        """Takes note of the limit in force, changed or not.
+        """Records the timeout in force, changed or not.
 
         Args:
-            limit_s: between requests.
+            limit_s: maximum time between requests.
             now: loop time.
         """
         if limit_s == self._in_force_s:
@@ -38,8 +39,8 @@
             if past.limit_s > limit_s and past.until + past.limit_s > now
         ]
 
-    def longest_s(self, since: float) -> float:
-        """The longest limit that was in force at or after a loop time."""
+    def longest_timeout_s(self, since: float) -> float:
+        """Returns the longest timeout in force at or after a loop time."""
         for past in self._past:
             if past.until >= since:
                 return past.limit_s
@@ -48,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _PastLimit:
-    """A limit that was in force until a loop time."""
+    """A timeout that was in force until a loop time."""
 
     limit_s: float
     until: float
--- a/damaskcroft/http1/_pool.py
+++ b/damaskcroft/http1/_pool.py
@@ -1,4 +1,8 @@
-"""Kept connections to targets, reused only while silent and clean."""
+"""Pool of persistent connections to targets.
+
+A connection is reused only if its last answer was complete and nothing was
+received since.
+"""
 
 import asyncio
 import dataclasses
@@ -8,20 +12,20 @@
 
 __all__ = ["ConnectionPool", "Place"]
 
-# A target that says nothing of how long it keeps idle connections.
-_KEPT_S = 4.0
-# A connection is no longer used this long before its target would close it,
-# so that a request doesn't cross the close: a round trip and a slow wake-up.
-_MARGIN_S = 0.7
+# For targets that announce no keep-alive time.
+_DEFAULT_KEEP_ALIVE_S = 4.0
+# A connection is no longer used this long before its target would close it, so
+# that no request crosses the close. Covers a round trip and a late wake-up.
+_KEEP_ALIVE_MARGIN_S = 0.7
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Place:
-    """Which target a connection is for.
+    """The target that a connection is opened for.
 
     Attributes:
-        id: one start of the target.
-        address: where it listens.
+        id: identifies one start of the target.
+        address: address on which the target listens.
     """
 
     id: str
@@ -38,27 +42,29 @@
         self._idle_by_place: dict[Place, list[TargetConnection]] = {}
 
     def idle(self, place: Place) -> TargetConnection | None:
-        """A kept connection that looks usable, or None."""
-        kept = self._idle_by_place.get(place, [])
+        """Takes a usable idle connection from the pool, or returns None."""
+        connections = self._idle_by_place.get(place, [])
         now = asyncio.get_running_loop().time()
-        while kept:
-            connection = kept.pop()
-            if connection.is_silent and not _is_old(connection, now):
+        while connections:
+            connection = connections.pop()
+            if connection.has_no_unread_input and not _is_expiring(
+                connection, now
+            ):
                 return connection
             connection.close()
         return None
 
     async def opened(self, place: Place, timeout_s: float) -> TargetConnection:
-        """A new connection.
+        """Opens a new connection.
 
         Raises:
-            OSError: none could be opened in time; nothing was sent.
+            OSError: no connection was established in time; nothing was sent.
         """
         channel = await connect(place.address, timeout_s)
         return TargetConnection(channel, place.address, place.id)
 
     def give_back(self, place: Place, connection: TargetConnection) -> None:
-        """Keeps a connection for the next request, or closes it."""
+        """Returns a connection to the pool, or closes it if not reusable."""
         if not connection.is_reusable:
             connection.close()
             return
@@ -75,10 +81,12 @@
     def close_old(self) -> None:
         """Closes connections that their targets are about to close."""
         now = asyncio.get_running_loop().time()
-        for place, kept in list(self._idle_by_place.items()):
+        for place, connections in list(self._idle_by_place.items()):
             usable = []
-            for connection in kept:
-                if connection.is_silent and not _is_old(connection, now):
+            for connection in connections:
+                if connection.has_no_unread_input and not _is_expiring(
+                    connection, now
+                ):
                     usable.append(connection)
                 else:
                     connection.close()
@@ -89,12 +97,12 @@
 
     def close(self) -> None:
         """Closes every idle connection."""
-        for kept in self._idle_by_place.values():
-            for connection in kept:
+        for connections in self._idle_by_place.values():
+            for connection in connections:
                 connection.close()
         self._idle_by_place.clear()
 
 
-def _is_old(connection: TargetConnection, now: float) -> bool:
-    kept_s = connection.kept_s or _KEPT_S
-    return now - connection.idle_since > kept_s - _MARGIN_S
+def _is_expiring(connection: TargetConnection, now: float) -> bool:
+    keep_alive_s = connection.keep_alive_s or _DEFAULT_KEEP_ALIVE_S
+    return now - connection.idle_since > keep_alive_s - _KEEP_ALIVE_MARGIN_S
--- a/damaskcroft/http1/_reader.py
+++ b/damaskcroft/http1/_reader.py
@@ -1,4 +1,4 @@
-"""Reading whole requests, and refusing what can't be one."""
+"""Reader of complete requests; refuses malformed and oversized ones."""
 
 import asyncio
 import contextlib
@@ -16,12 +16,12 @@
 
 __all__ = ["RequestReader"]
 
-# More headers than any caller sends; a flood of them costs memory.
+# More headers than any real caller sends; bounds the memory they take.
 _MAX_HEADERS = 100
 
 
 class RequestReader:
-    """Reads whole requests from one connection."""
+    """Reads complete requests from one connection."""
 
     __slots__ = ("_channel", "_handler", "_idle_limits", "_limits", "_parser")
 
@@ -32,30 +32,31 @@
         handler: CallerHandler,
         idle_limits: IdleLimits,
     ):
-        """Reads with `parser` what comes on `channel`.
+        """Creates a reader that feeds the bytes of `channel` to `parser`.
 
         Args:
-            parser: bounds nothing itself, since its bound can't change.
+            parser: parser without a size limit of its own, because that limit
+                could not change.
             channel: the connection.
-            handler: names the limits.
-            idle_limits: of all connections of a server.
+            handler: provides the limits.
+            idle_limits: idle timeouts, shared by all connections of a server.
         """
         self._parser = parser
         self._channel = channel
         self._handler = handler
         self._idle_limits = idle_limits
-        # Those in force at a request's first byte hold for all of it.
+        # The limits in force at a request's first byte apply to all of it.
         self._limits = handler.limits()
 
     async def wait_for_first_byte(self) -> bool:
-        """Waits for the next request; False if the connection should end."""
+        """Waits for a request; returns False if the connection should close."""
         if self._parser.trailing_data[0]:
             self._limits = self._handler.limits()
             return True
         loop = asyncio.get_running_loop()
         began_at = loop.time()
         while not self._channel.is_readable:
-            ends_at = began_at + self._idle_limits.longest_s(began_at)
+            ends_at = began_at + self._idle_limits.longest_timeout_s(began_at)
             if loop.time() >= ends_at:
                 return False
             with contextlib.suppress(TimeoutError):
@@ -69,10 +70,11 @@
         return True
 
     async def read_request(self, answer: Answer) -> CallerRequest | None:
-        """Reads a whole request, or refuses what can't be one.
+        """Reads a complete request, or refuses an invalid one.
 
         Returns:
-            None if the connection should end; a refusal was sent.
+            None if the connection should close; a refusal was sent unless the
+            caller had closed it.
         """
         limits = self._limits
         try:
@@ -80,7 +82,7 @@
                 head = await self._next_event()
             if not isinstance(head, h11.Request):
                 return None
-            fault = _head_fault(head, limits)
+            fault = _find_head_fault(head, limits)
             if fault:
                 await self._refuse(answer, *fault)
                 return None
@@ -108,14 +110,16 @@
         body = bytearray()
         while True:
             if self._parser.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                self._channel.put(self._parser.send(go_on) or b"")
+                continue_answer = h11.InformationalResponse(
+                    status_code=100, headers=[]
+                )
+                self._channel.write(self._parser.send(continue_answer) or b"")
             async with asyncio.timeout(limits.head_timeout_s):
                 event = await self._next_event()
             if isinstance(event, h11.EndOfMessage):
                 return bytes(body)
             if not isinstance(event, h11.Data):
-                raise ChannelLostError("closed in the middle of a request")
+                raise ChannelLostError("connection closed within a request")
             body += event.data
             if len(body) > limits.body_bytes:
                 return None
@@ -129,7 +133,7 @@
                 raise h11.RemoteProtocolError("head too long", 431)
             data = await self._channel.read()
             if not data and self._channel.lost:
-                raise ChannelLostError("closed in the middle of a request")
+                raise ChannelLostError("connection closed within a request")
             self._parser.receive_data(data)
 
     async def _refuse(self, answer: Answer, status: int, reason: str) -> None:
@@ -140,10 +144,10 @@
         await answer.give(status, headers, b"")
 
 
-def _head_fault(
+def _find_head_fault(
     head: h11.Request, limits: CallerLimits
 ) -> tuple[int, str] | None:
-    # Those that come in several reads are bounded as they come.
+    # Heads received in several reads are also checked as their bytes arrive.
     size = sum(len(name) + len(value) for name, value in head.headers)
     if len(head.target) + size > limits.head_bytes:
         return 431, "head_too_long"
@@ -151,12 +155,12 @@
         return 431, "too_many_headers"
     names = [name for name, _ in head.headers]
     if b"transfer-encoding" in names and b"content-length" in names:
-        # Two framings are how requests are smuggled (RFC 9112, 6.1).
+        # Two framings allow request smuggling (RFC 9112, 6.1).
         return 400, "two_framings"
     if not head.target.startswith(b"/") and head.target != b"*":
         return 400, "bad_target"
     if head.method == b"CONNECT":
-        # Its target names an authority (RFC 9110, 9.3.6), and after a success
-        # the parser takes what follows for a tunnel.
+        # Its target is an authority (RFC 9110, 9.3.6), and after a successful
+        # answer the parser treats the following bytes as a tunnel.
         return 400, "bad_target"
     return None
--- a/damaskcroft/http1/_retry_after.py
+++ b/damaskcroft/http1/_retry_after.py
@@ -1,4 +1,4 @@
-"""How long an answer asks to be left alone (RFC 9110, 10.2.3)."""
+"""Parsing of the Retry-After header (RFC 9110, 10.2.3)."""
 
 import email.utils
 import math
@@ -8,17 +8,17 @@
 
 
 def retry_after_s(value: str, date: str = "") -> float | None:
-    """The seconds that a Retry-After header asks for.
+    """Parses the seconds of a Retry-After header.
 
-    Fractions of seconds are taken as well, as some servers send them.
+    Fractions of seconds are accepted as well, because some servers send them.
 
     Args:
-        value: the header: seconds, or a date.
-        date: the Date header of the same answer, so that a difference of
-            clocks doesn't count; empty if there is none.
+        value: value of the header: seconds, or a date.
+        date: the Date header of the same answer, so that clock skew has no
+            effect; empty if there is none.
 
     Returns:
-        None where there is no such header or it makes no sense.
+        The seconds; None if the header is absent or invalid.
     """
     try:
         seconds = float(value)
@@ -26,13 +26,13 @@
         until = _timestamp(value)
         if until is None:
             return None
-        told_at = _timestamp(date)
-        seconds = until - (time.time() if told_at is None else told_at)
+        answered_at = _timestamp(date)
+        seconds = until - (time.time() if answered_at is None else answered_at)
     return seconds if math.isfinite(seconds) and seconds >= 0 else None
 
 
 def _timestamp(date: str) -> float | None:
-    """Seconds since the epoch; None for what is no date."""
+    """Returns seconds since the epoch; None for an invalid date."""
     if not date:
         return None
     try:
--- a/damaskcroft/http1/tests/conftest.py
+++ b/damaskcroft/http1/tests/conftest.py
@@ -11,7 +11,7 @@
 
 
 class EchoHandler(CallerHandler):
-    """Answers with the request's body, after a gate opens."""
+    """Echoes the request's body once a gate is open."""
 
     def __init__(self):
         self.requests = []
@@ -43,7 +43,7 @@
 
 
 class RawCaller:
-    """A caller that writes bytes as it likes."""
+    """A caller that writes raw bytes."""
 
     def __init__(self, reader, writer):
         self.reader = reader
@@ -53,25 +53,25 @@
         self.writer.write(data)
         await self.writer.drain()
 
-    async def rest(self):
-        """All bytes until the entry ends the connection."""
+    async def read_to_end(self):
+        """Reads all bytes until the server closes the connection."""
         async with asyncio.timeout(10):
             return await self.reader.read()
 
-    async def until(self, end):
+    async def read_until(self, end):
         async with asyncio.timeout(10):
             return await self.reader.readuntil(end)
 
 
 @pytest.fixture
 def run():
-    """Runs a test's coroutine on a real loop, since sockets are real."""
+    """Runs a test's coroutine on a real loop, because sockets are real."""
     return asyncio.run
 
 
 @pytest.fixture
 def served():
-    """An entry's face with an echo behind it, and a way to call it."""
+    """A server with an echo handler, and a function that opens callers."""
 
     @contextlib.asynccontextmanager
     async def serve():
--- a/damaskcroft/http1/tests/test_client.py
+++ b/damaskcroft/http1/tests/test_client.py
@@ -1,4 +1,4 @@
-"""What is believed of targets that misbehave at each byte."""
+"""The client and its pool against targets that send invalid answers."""
 
 import asyncio
 import contextlib
@@ -14,19 +14,27 @@
     NoAnswerError,
     Place,
 )
-from damaskcroft.http1._answers import AnswerParser, Broken, Ended
+from damaskcroft.http1._answers import (
+    AnswerComplete,
+    AnswerFailure,
+    AnswerParser,
+)
 
-OURS = b"HTTP/1.1 200 OK\r\nX-Id: ours\r\nContent-Length: 4\r\n\r\nbody"
-OTHER = b"HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 3\r\n\r\nold"
+EXPECTED_ANSWER = (
+    b"HTTP/1.1 200 OK\r\nX-Id: ours\r\nContent-Length: 4\r\n\r\nbody"
+)
+UNRELATED_ANSWER = (
+    b"HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 3\r\n\r\nold"
+)
 
 
-def is_ours(head):
+def is_for_request(head):
     return head.value(b"x-id") in ("", "ours")
 
 
 @contextlib.asynccontextmanager
 async def target(*answers, reset=False):
-    """A target that gives each request the next bytes; then it closes."""
+    """A target that sends each request the next of `answers`, then closes."""
     remaining = list(answers)
 
     async def serve(reader, writer):
@@ -54,17 +62,19 @@
 
 async def ask(connection):
     await connection.send(b"POST", b"/a", [(b"host", b"h")], b"ab")
-    head = await connection.read_head(is_ours)
+    head = await connection.read_head(is_for_request)
     body = b""
     while part := await connection.read_part():
         body += part
     return head, body
 
 
-def test_a_clean_connection_is_used_again():
+def test_a_connection_after_a_complete_answer_is_reused():
     async def scenario():
         pool = ConnectionPool()
-        async with target(OURS, OURS, OURS) as place:
+        async with target(
+            EXPECTED_ANSWER, EXPECTED_ANSWER, EXPECTED_ANSWER
+        ) as place:
             first = await pool.opened(place, 1.0)
             assert (await ask(first))[1] == b"body"
             pool.give_back(place, first)
@@ -77,16 +87,16 @@
 @pytest.mark.parametrize(
     "answer",
     [
-        OURS + b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx",
-        OURS + b"garbage",
-        OURS.replace(b"Content", b"Connection: close\r\nContent"),
+        EXPECTED_ANSWER + b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx",
+        EXPECTED_ANSWER + b"garbage",
+        EXPECTED_ANSWER.replace(b"Content", b"Connection: close\r\nContent"),
     ],
     ids=["a second answer", "garbage", "says close"],
 )
-def test_an_unclean_connection_is_not_used_again(answer):
+def test_a_connection_with_extra_input_or_close_is_not_reused(answer):
     async def scenario():
         pool = ConnectionPool()
-        async with target(answer, OURS) as place:
+        async with target(answer, EXPECTED_ANSWER) as place:
             connection = await pool.opened(place, 1.0)
             assert (await ask(connection))[1] == b"body"
             await asyncio.sleep(0.05)
@@ -96,15 +106,15 @@
     asyncio.run(scenario())
 
 
-def test_bytes_that_come_while_idle_end_a_connection():
+def test_a_connection_that_receives_bytes_while_idle_is_closed():
     async def scenario():
         pool = ConnectionPool()
 
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\nab")
-            writer.write(OURS)
+            writer.write(EXPECTED_ANSWER)
             await asyncio.sleep(0.05)
-            writer.write(OTHER)
+            writer.write(UNRELATED_ANSWER)
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
@@ -119,10 +129,12 @@
     asyncio.run(scenario())
 
 
-def test_another_requests_answer_is_read_over():
+def test_an_answer_to_another_request_is_skipped():
     async def scenario():
         pool = ConnectionPool()
-        async with target(OTHER + OURS, OURS) as place:
+        async with target(
+            UNRELATED_ANSWER + EXPECTED_ANSWER, EXPECTED_ANSWER
+        ) as place:
             connection = await pool.opened(place, 1.0)
             head, body = await ask(connection)
             assert (head.value(b"x-id"), body) == ("ours", b"body")
@@ -137,11 +149,11 @@
         (b"", True),
         (b"HTTP/1.1 20", False),
         (b"no answer in the protocol\r\n\r\n", False),
-        (OTHER, False),
-        (OTHER[:-1], False),
+        (UNRELATED_ANSWER, False),
+        (UNRELATED_ANSWER[:-1], False),
     ],
 )
-def test_no_answer_is_told_from_an_answer(answer, reset):
+def test_a_missing_or_invalid_answer_raises_no_answer_error(answer, reset):
     async def scenario():
         pool = ConnectionPool()
         async with target(answer, reset=reset) as place:
@@ -158,10 +170,10 @@
 
 @pytest.mark.parametrize(
     ("answer", "reset"),
-    [(OURS[:-1], False), (CHUNKED, False), (UNFRAMED, True)],
+    [(EXPECTED_ANSWER[:-1], False), (CHUNKED, False), (UNFRAMED, True)],
     ids=["short", "chunks without end", "unframed and reset"],
 )
-def test_an_answer_cut_short_is_not_whole(answer, reset):
+def test_a_truncated_answer_raises_an_error(answer, reset):
     async def scenario():
         pool = ConnectionPool()
         async with target(answer, reset=reset) as place:
@@ -184,69 +196,76 @@
     asyncio.run(scenario())
 
 
-def parsed(*pieces, without_body=False):
-    """Events of an answer that comes in pieces, and whether it keeps open."""
+def parsed(*pieces, is_bodiless=False):
+    """Parses pieces; returns the events and whether it is persistent."""
     parser = AnswerParser()
-    parser.without_body = without_body
+    parser.is_bodiless = is_bodiless
     for piece in pieces:
         parser.receive(piece)
     events = []
     while (event := parser.next()) is not None:
         events.append(event)
-    return events, parser.keeps_open and parser.is_between
+    return events, parser.is_persistent and parser.is_between_answers
 
 
 @pytest.mark.parametrize(
     "answer",
     [
-        OURS.replace(b"X-Id: ours", b"Transfer-Encoding: chunked"),
-        OURS.replace(b"X-Id: ours", b"Content-Length: 5"),
-        OURS.replace(b": 4", b": +4"),
-        OURS.replace(b"\r\n", b"\n"),
-        OURS.replace(b"X-Id: ours", b"X-Id: a\r\n b"),
+        EXPECTED_ANSWER.replace(b"X-Id: ours", b"Transfer-Encoding: chunked"),
+        EXPECTED_ANSWER.replace(b"X-Id: ours", b"Content-Length: 5"),
+        EXPECTED_ANSWER.replace(b": 4", b": +4"),
+        EXPECTED_ANSWER.replace(b"\r\n", b"\n"),
+        EXPECTED_ANSWER.replace(b"X-Id: ours", b"X-Id: a\r\n b"),
         b"HTTP/1.1 200 OK\r\nX: " + b"x" * 70_000,
         b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
     ],
 )
-def test_what_is_no_answer_is_never_taken_for_one(answer):
-    events, keeps_open = parsed(answer)
-    assert isinstance(events[-1], Broken)
-    assert not any(isinstance(event, Ended) for event in events)
-    assert not keeps_open
+def test_a_malformed_answer_is_reported_as_a_failure(answer):
+    events, is_persistent = parsed(answer)
+    assert isinstance(events[-1], AnswerFailure)
+    assert not any(isinstance(event, AnswerComplete) for event in events)
+    assert not is_persistent
 
 
-def test_an_answer_that_comes_byte_by_byte_is_the_same():
+def test_an_answer_received_byte_by_byte_is_parsed_alike():
     pieces = [bytes([byte]) for byte in CHUNKED + b"0\r\nT: x\r\n\r\n"]
-    events, keeps_open = parsed(*pieces)
+    events, is_persistent = parsed(*pieces)
     assert events[0] == Head(200, [(b"transfer-encoding", b"chunked")])
     assert b"".join(e for e in events if isinstance(e, bytes)) == b"body"
-    assert isinstance(events[-1], Ended)
-    assert keeps_open
+    assert isinstance(events[-1], AnswerComplete)
+    assert is_persistent
 
 
-def test_chunks_that_come_together_are_one_part():
+def test_chunks_received_together_are_one_part():
     events, _ = parsed(CHUNKED + b"3\r\nand\r\n0\r\n\r\n")
     assert [e for e in events if isinstance(e, bytes)] == [b"bodyand"]
 
 
 def test_the_answer_to_a_head_request_has_no_body():
-    events, keeps_open = parsed(OURS[:-4], without_body=True)
-    assert isinstance(events[-1], Ended)
-    assert not keeps_open
+    events, is_persistent = parsed(EXPECTED_ANSWER[:-4], is_bodiless=True)
+    assert isinstance(events[-1], AnswerComplete)
+    assert not is_persistent
 
 
-def test_spaces_around_a_value_are_no_part_of_it():
-    events, _ = parsed(OURS.replace(b"X-Id: ours", b"X-Id: \t ours \t"))
+def test_whitespace_around_a_value_is_stripped():
+    events, _ = parsed(
+        EXPECTED_ANSWER.replace(b"X-Id: ours", b"X-Id: \t ours \t")
+    )
     assert events[0].value(b"x-id") == "ours"
 
 
-def test_interim_answers_end_nothing():
-    events, _ = parsed(b"HTTP/1.1 102 Processing\r\n\r\n" + OURS)
+def test_an_interim_answer_does_not_complete_the_answer():
+    events, _ = parsed(b"HTTP/1.1 102 Processing\r\n\r\n" + EXPECTED_ANSWER)
     assert [e.status for e in events if isinstance(e, Head)] == [102, 200]
-    assert sum(isinstance(e, Ended) for e in events) == 1
-
-
-def test_what_follows_a_whole_answer_makes_it_no_less_whole():
-    events, keeps_open = parsed(OURS + b"garbage")
-    assert [type(e) for e in events] == [Head, bytes, Ended, Broken]
-    assert not keeps_open
+    assert sum(isinstance(e, AnswerComplete) for e in events) == 1
+
+
+def test_bytes_after_a_complete_answer_leave_it_complete():
+    events, is_persistent = parsed(EXPECTED_ANSWER + b"garbage")
+    assert [type(e) for e in events] == [
+        Head,
+        bytes,
+        AnswerComplete,
+        AnswerFailure,
+    ]
+    assert not is_persistent
--- a/damaskcroft/http1/tests/test_closing.py
+++ b/damaskcroft/http1/tests/test_closing.py
@@ -1,11 +1,11 @@
 """Requests that cross the closing of an idle connection.
 
-What happened: `close_idle` and the idle timeout closed connections outright.
-A request whose bytes the kernel held unread at that moment was reset, and one
-that came later found the connection closed: in both cases without a word on
-whether it had run. The entry of the product's own interface showed it first
-(rpc/tests/test_kept_connections.py tells the figures); this face closed the
-same way, 3.5 s after SIGTERM.
+Guards against a `close_idle` and an idle timeout that close connections
+outright. A request whose bytes were unread in the kernel at that moment was
+reset, and a later one found the connection closed: in both cases the caller
+could not tell whether it had run. The fault was first seen at the server for
+the product's own interface (figures in rpc/tests/test_kept_connections.py);
+this server closed connections in the same way, 3.5 s after SIGTERM.
 """
 
 import asyncio
@@ -16,16 +16,16 @@
 import pytest
 
 from damaskcroft.http1 import CallerLimits, EndTimes, Lingering, drained
-from damaskcroft.http1.tests.test_server import WHOLE, settled
+from damaskcroft.http1.tests.test_server import REQUEST, wait_until
 from damaskcroft.standins.late_callers import LateCallers
 
-PROMISE = b"HTTP/1.1 408"
+NOT_RUN_ANSWER = b"HTTP/1.1 408"
 
 
-async def kept(call):
+async def open_idle_caller(call):
     caller = await call()
-    await caller.send(WHOLE)
-    await caller.until(b"got body")
+    await caller.send(REQUEST)
+    await caller.read_until(b"got body")
     # Lets the server begin to wait for the next request.
     await asyncio.sleep(0.05)
     return caller
@@ -34,16 +34,16 @@
 def test_a_request_unread_at_the_close_is_answered_or_has_not_run(run, served):
     async def scenario():
         async with served() as (handler, call, connections):
-            callers = [await kept(call) for _ in range(20)]
+            callers = [await open_idle_caller(call) for _ in range(20)]
             runs = len(handler.requests)
             for caller in callers:
-                # In the kernel now; the loop has not looked at it yet.
-                caller.writer.transport._sock.send(WHOLE)
+                # Now in the kernel; the loop has not read it yet.
+                caller.writer.transport._sock.send(REQUEST)
             handler.stopping = True
             connections.close_idle()
-            answers = [await caller.rest() for caller in callers]
+            answers = [await caller.read_to_end() for caller in callers]
             for answer in answers:
-                assert answer.startswith((PROMISE, b"HTTP/1.1 200"))
+                assert answer.startswith((NOT_RUN_ANSWER, b"HTTP/1.1 200"))
                 assert answer.count(b"HTTP/1.1") == 1
             answered = [a for a in answers if a.endswith(b"got body")]
             assert len(handler.requests) - runs == len(answered)
@@ -51,19 +51,18 @@
     run(scenario())
 
 
-def test_an_answer_that_kept_its_connection_is_not_followed_at_once(
-    run, served
-):
-    # Against a 408 that its caller reads, and drops, with the answer.
+def test_a_keep_alive_answer_is_not_followed_by_a_408_at_once(run, served):
+    # Guards against a 408 that the caller reads, and discards, with the
+    # answer.
     async def scenario():
         async with served() as (handler, call, connections):
-            caller = await kept(call)
+            caller = await open_idle_caller(call)
             times = EndTimes(0.0, math.inf, 5.0, 5.0)
             ending = asyncio.create_task(drained(connections, times))
             await asyncio.sleep(0.05)
-            # It was answered 0.1 s ago.
-            await caller.send(WHOLE)
-            answer = await caller.rest()
+            # The previous answer was sent 0.1 s ago.
+            await caller.send(REQUEST)
+            answer = await caller.read_to_end()
             caller.writer.close()
             await ending
             assert answer.startswith(b"HTTP/1.1 200")
@@ -73,17 +72,17 @@
     run(scenario())
 
 
-def test_a_connection_made_just_now_is_not_ended_as_idle(run, served):
-    # Against a 408 without Retry-After for a request that is on its way.
+def test_a_connection_just_accepted_is_not_closed_as_idle(run, served):
+    # Guards against a 408 without Retry-After for a request in transit.
     async def scenario():
         async with served() as (_, call, connections):
             caller = await call()
-            await settled(lambda: connections.open_count)
+            await wait_until(lambda: connections.open_count)
             times = EndTimes(0.0, math.inf, 5.0, 5.0)
             ending = asyncio.create_task(drained(connections, times))
             await asyncio.sleep(0.1)
-            await caller.send(WHOLE)
-            answer = await caller.rest()
+            await caller.send(REQUEST)
+            answer = await caller.read_to_end()
             caller.writer.close()
             await ending
             assert answer.startswith(b"HTTP/1.1 200")
@@ -92,27 +91,25 @@
     run(scenario())
 
 
-def test_a_request_sent_after_the_close_is_told_that_it_has_not_run(
-    run, served
-):
+def test_a_request_sent_after_the_close_is_answered_as_not_run(run, served):
     async def scenario():
         async with served() as (handler, call, connections):
-            caller = await kept(call)
+            caller = await open_idle_caller(call)
             connections.close_idle()
             await asyncio.sleep(0.1)
-            # This caller has not looked at its connection.
-            await caller.send(WHOLE)
-            assert (await caller.rest()).startswith(PROMISE)
+            # This caller has not read from its connection.
+            await caller.send(REQUEST)
+            assert (await caller.read_to_end()).startswith(NOT_RUN_ANSWER)
             assert len(handler.requests) == 1
 
     run(scenario())
 
 
-@pytest.mark.parametrize("part", [WHOLE[:12], WHOLE[:-2]])
-def test_a_request_half_read_at_the_end_is_told_that_it_has_not_run(
+@pytest.mark.parametrize("part", [REQUEST[:12], REQUEST[:-2]])
+def test_a_request_half_read_at_the_shutdown_is_answered_as_not_run(
     run, served, part
 ):
-    # Against a connection that ends without a byte.
+    # Guards against a connection that is closed without an answer.
     async def scenario():
         async with served() as (handler, call, connections):
             handler.limits = CallerLimits
@@ -120,14 +117,14 @@
             await caller.send(part)
             await asyncio.sleep(0.05)
             await connections.close()
-            assert (await caller.rest()).startswith(PROMISE)
+            assert (await caller.read_to_end()).startswith(NOT_RUN_ANSWER)
             assert handler.requests == []
 
     run(scenario())
 
 
-def test_a_library_that_pools_connections_reads_that_nothing_ran(run, served):
-    # Against a reset that the library meets before it looks at its buffer.
+def test_a_client_library_with_a_pool_reads_the_408(run, served):
+    # Guards against a reset that the library sees before it reads its buffer.
     async def scenario():
         async with served() as (handler, _, connections):
             url = f"http://{connections.address}/work"
@@ -142,7 +139,7 @@
     run(scenario())
 
 
-def test_connections_that_nobody_closes_do_not_linger_for_ever(loop):
+def test_lingering_connections_are_closed_after_the_linger_time(loop):
     closed = []
 
     async def scenario():
@@ -157,10 +154,10 @@
 
 
 @pytest.mark.parametrize(("every_s", "least"), [(0.01, 500), (0.0, 0)])
-def test_the_oldest_of_too_many_lingering_connections_is_closed(
+def test_the_oldest_lingering_connections_over_the_maximum_are_closed(
     loop, every_s, least
 ):
-    # Those that a stop ends at once are all kept for a moment.
+    # Connections half closed together at a shutdown all linger for a while.
     closed = []
 
     async def scenario():
@@ -178,10 +175,10 @@
 def test_a_request_that_crosses_the_idle_timeout_has_not_run(run, served):
     async def scenario():
         async with served() as (handler, call, connections):
-            caller = await kept(call)
+            caller = await open_idle_caller(call)
             await asyncio.sleep(0.4)
-            await caller.send(WHOLE)
-            assert (await caller.rest()).startswith(PROMISE)
+            await caller.send(REQUEST)
+            assert (await caller.read_to_end()).startswith(NOT_RUN_ANSWER)
             assert len(handler.requests) == 1
 
     run(scenario())
@@ -191,10 +188,10 @@
     async def scenario():
         async with served() as (handler, call, connections):
             handler.gate.clear()
-            caller = await kept_busy(call, handler)
+            caller = await open_busy_caller(call, handler)
             connections.close_idle()
             handler.gate.set()
-            await caller.until(b"got body")
+            await caller.read_until(b"got body")
 
     run(scenario())
 
@@ -202,24 +199,26 @@
 def test_a_connection_that_its_caller_closed_is_not_waited_for(run, served):
     async def scenario():
         async with served() as (_, call, connections):
-            caller = await kept(call)
+            caller = await open_idle_caller(call)
             connections.close_idle()
-            await caller.rest()
+            await caller.read_to_end()
             closed_at = asyncio.get_running_loop().time()
             caller.writer.close()
-            await settled(lambda: connections.open_count == 0)
+            await wait_until(lambda: connections.open_count == 0)
             took_s = asyncio.get_running_loop().time() - closed_at
             assert took_s < 0.5
 
     run(scenario())
 
 
-def test_work_that_does_not_end_holds_up_no_close(run, served):
-    # Against an entry that its platform kills while it waits for such work.
+def test_a_handler_that_ignores_cancellation_does_not_delay_the_close(
+    run, served
+):
+    # Guards against an entry that is killed by its platform while it waits.
     async def scenario():
         async with served() as (handler, call, _):
-            handler.gate = DeafGate()
-            await kept_busy(call, handler)
+            handler.gate = UncancellableGate()
+            await open_busy_caller(call, handler)
             closed_at = asyncio.get_running_loop().time()
         assert asyncio.get_running_loop().time() - closed_at < 1.0
 
@@ -227,7 +226,7 @@
 
 
 def test_connections_made_while_a_server_stops_listening_are_answered(served):
-    callers = LateCallers(WHOLE)
+    callers = LateCallers(REQUEST)
 
     async def scenario():
         async with served() as (handler, _, connections):
@@ -245,8 +244,8 @@
 
 
 def test_no_connection_is_made_after_the_last_accept(served):
-    # Against a whole request on a new connection that is reset.
-    callers = LateCallers(WHOLE)
+    # Guards against a reset of a new connection with a complete request.
+    callers = LateCallers(REQUEST)
 
     async def scenario():
         async with served() as (handler, _, connections):
@@ -262,8 +261,8 @@
     assert outcomes.count("200") == runs
 
 
-class DeafGate:
-    """Waits for three seconds, however often it is cancelled."""
+class UncancellableGate:
+    """Waits for three seconds and ignores cancellation."""
 
     async def wait(self):
         loop = asyncio.get_running_loop()
@@ -273,8 +272,8 @@
                 await asyncio.sleep(until - loop.time())
 
 
-async def kept_busy(call, handler):
+async def open_busy_caller(call, handler):
     caller = await call()
-    await caller.send(WHOLE)
-    await settled(lambda: handler.requests)
+    await caller.send(REQUEST)
+    await wait_until(lambda: handler.requests)
     return caller
--- a/damaskcroft/http1/tests/test_ending.py
+++ b/damaskcroft/http1/tests/test_ending.py
@@ -1,19 +1,19 @@
-"""The order of steps in which a server ends, in virtual time."""
+"""The steps of a graceful shutdown and their times, in virtual time."""
 
 import asyncio
 
 import pytest
 
-from damaskcroft.http1 import EndingServer, EndTimes, end_server
+from damaskcroft.http1 import EndTimes, GracefulServer, shut_down_server
 
 TIMES = EndTimes(notice_s=1.0, listen_s=2.0, told_s=3.0, within_s=4.0)
 
 
-class FakeServer(EndingServer):
-    """Notes when each step comes first; its callers do as they are told."""
+class FakeServer(GracefulServer):
+    """Records when each step of the shutdown first occurs."""
 
     answering = 0
-    are_all_told = False
+    only_lingering_open = False
     open_count = 0
 
     def __init__(self, open_count):
@@ -22,7 +22,7 @@
         self.began_at = asyncio.get_running_loop().time()
 
     @property
-    def is_used(self):
+    def is_active(self):
         return self.open_count > 0
 
     def give_notice(self):
@@ -32,8 +32,8 @@
     async def stop_listening(self):
         self._note("stop_listening")
 
-    def close_idle(self, quiet_s=0.0):
-        assert quiet_s > 0
+    def close_idle(self, min_idle_s=0.0):
+        assert min_idle_s > 0
         self._note("close_idle")
 
     async def close(self):
@@ -44,18 +44,18 @@
         self.first_at.setdefault(step, pytest.approx(lasted_s, abs=0.05))
 
 
-def ended(loop, open_count, then=lambda server: None, times=TIMES):
+def run_shutdown(loop, open_count, then=lambda server: None, times=TIMES):
     async def scenario():
         server = FakeServer(open_count)
         loop.call_later(0.5, then, server)
-        await end_server(server, times)
+        await shut_down_server(server, times)
         return server.first_at
 
     return loop.run_until_complete(scenario())
 
 
-def test_each_step_comes_in_its_time_and_the_last_in_any_case(loop):
-    assert ended(loop, 1) == {
+def test_each_step_occurs_at_its_time_and_close_always(loop):
+    assert run_shutdown(loop, 1) == {
         "notice": 0.0,
         "close_idle": 1.0,
         "stop_listening": 2.0,
@@ -63,35 +63,36 @@
     }
 
 
-def test_callers_that_were_told_are_waited_for_less_long(loop):
-    def told(server):
-        server.are_all_told = True
+def test_half_closed_connections_are_waited_for_less_long(loop):
+    def half_close_all(server):
+        server.only_lingering_open = True
 
-    assert ended(loop, 1, told)["close"] == 3.0
+    assert run_shutdown(loop, 1, half_close_all)["close"] == 3.0
 
 
-def test_a_server_without_connections_ends_at_once(loop):
-    steps = ended(loop, 0)
+def test_a_server_without_connections_shuts_down_at_once(loop):
+    steps = run_shutdown(loop, 0)
     assert steps == {"notice": 0.0, "stop_listening": 0.0, "close": 0.0}
 
 
 def test_the_notice_ends_with_the_last_connection(loop):
-    def leaves(server):
+    def close_last(server):
         server.open_count = 0
 
-    assert ended(loop, 1, leaves)["close"] == 0.5
+    assert run_shutdown(loop, 1, close_last)["close"] == 0.5
 
 
-def test_connections_that_the_kernel_held_get_the_rest_of_the_time(loop):
-    # Against an end that cuts whoever connected at its last moment.
-    class Held(FakeServer):
+def test_connections_from_the_kernel_queue_get_the_remaining_time(loop):
+    # Guards against a shutdown that cancels requests on connections accepted
+    # from the kernel's queue.
+    class ServerWithQueue(FakeServer):
         async def stop_listening(self):
             await super().stop_listening()
             self.open_count = 1
 
     async def scenario():
-        server = Held(0)
-        await end_server(server, TIMES)
+        server = ServerWithQueue(0)
+        await shut_down_server(server, TIMES)
         return server.first_at
 
     steps = loop.run_until_complete(scenario())
--- a/damaskcroft/http1/tests/test_retry_after.py
+++ b/damaskcroft/http1/tests/test_retry_after.py
@@ -1,4 +1,4 @@
-"""What a Retry-After header asks for."""
+"""Parsing of Retry-After headers."""
 
 import email.utils
 import time
@@ -14,16 +14,16 @@
 @pytest.mark.parametrize(
     ("value", "seconds"), [("3", 3.0), ("0", 0.0), ("0.25", 0.25), (" 2 ", 2.0)]
 )
-def test_seconds_are_taken(value, seconds):
+def test_seconds_are_parsed(value, seconds):
     assert retry_after_s(value) == seconds
 
 
-def test_a_date_is_taken_from_the_date_of_its_answer():
+def test_a_date_is_relative_to_the_date_of_its_answer():
     assert retry_after_s(A_MINUTE_LATER, NOON) == 60
 
 
 @pytest.mark.parametrize("date", ["", "yesterday"])
-def test_without_one_a_date_is_taken_from_now(date):
+def test_without_a_valid_answer_date_a_date_is_relative_to_now(date):
     soon = email.utils.formatdate(time.time() + 30, usegmt=True)
     assert 25 < retry_after_s(soon, date) <= 30
 
@@ -31,9 +31,9 @@
 @pytest.mark.parametrize(
     "value", ["", "soon", "-1", "nan", "inf", "-inf", "1e999", "Thu, 99 Dec"]
 )
-def test_what_makes_no_sense_asks_for_nothing(value):
+def test_an_invalid_value_gives_none(value):
     assert retry_after_s(value) is None
 
 
-def test_a_date_that_has_passed_asks_for_nothing():
+def test_a_date_in_the_past_gives_none():
     assert retry_after_s(NOON, A_MINUTE_LATER) is None
--- a/damaskcroft/http1/tests/test_server.py
+++ b/damaskcroft/http1/tests/test_server.py
@@ -1,4 +1,4 @@
-"""What callers get for what they send, down to single bytes."""
+"""The server against well-formed, malformed and incomplete requests."""
 
 import asyncio
 import contextlib
@@ -11,22 +11,22 @@
 from damaskcroft.http1.tests.conftest import RawCaller
 
 HEAD = b"POST /a/b HTTP/1.1\r\nHost: h\r\n"
-WHOLE = HEAD + b"Content-Length: 4\r\n\r\nbody"
+REQUEST = HEAD + b"Content-Length: 4\r\n\r\nbody"
 
 
-async def settled(condition):
+async def wait_until(condition):
     async with asyncio.timeout(10):
         while not condition():
             await asyncio.sleep(0.01)
 
 
-def test_a_kept_connection_carries_several_requests(run, served):
+def test_a_persistent_connection_carries_several_requests(run, served):
     async def scenario():
         async with served() as (handler, call, _):
             caller = await call()
             for _ in range(3):
-                await caller.send(WHOLE)
-                answer = await caller.until(b"got body")
+                await caller.send(REQUEST)
+                answer = await caller.read_until(b"got body")
                 assert answer.startswith(b"HTTP/1.1 200")
                 assert b"connection: close" not in answer.lower()
             assert len(handler.requests) == 3
@@ -38,10 +38,10 @@
     async def scenario():
         async with served() as (_, call, _):
             caller = await call()
-            second = WHOLE.replace(b"body", b"next")
-            await caller.send(WHOLE + second)
-            await caller.until(b"got body")
-            await caller.until(b"got next")
+            second = REQUEST.replace(b"body", b"next")
+            await caller.send(REQUEST + second)
+            await caller.read_until(b"got body")
+            await caller.read_until(b"got next")
 
     run(scenario())
 
@@ -78,52 +78,54 @@
         "chunk stops midway",
     ],
 )
-def test_what_is_no_request_is_refused_at_once(run, served, sent, status):
+def test_a_malformed_or_incomplete_request_is_refused(
+    run, served, sent, status
+):
     async def scenario():
         async with served() as (handler, call, _):
             caller = await call()
             await caller.send(sent)
-            answer = await caller.rest()
+            answer = await caller.read_to_end()
             assert answer.split()[1] == status
             assert b"connection: close" in answer.lower()
             assert handler.requests == []
             assert len(handler.refusals) == 1
             other = await call()
-            await other.send(WHOLE)
-            await other.until(b"got body")
+            await other.send(REQUEST)
+            await other.read_until(b"got body")
 
     run(scenario())
 
 
-def assert_only_a_promise(rest):
-    """The end of an idle connection: nothing ran, and nothing will."""
-    assert rest.startswith(b"HTTP/1.1 408")
-    assert b"connection: close" in rest.lower()
-    assert rest.endswith(b"\r\n\r\n")
-    assert rest.count(b"\r\n\r\n") == 1
+def assert_only_not_run_answer(answer):
+    """Checks the close of an idle connection: a 408 and nothing after it."""
+    assert answer.startswith(b"HTTP/1.1 408")
+    assert b"connection: close" in answer.lower()
+    assert answer.endswith(b"\r\n\r\n")
+    assert answer.count(b"\r\n\r\n") == 1
 
 
-def test_an_idle_connection_is_closed_with_a_promise_alone(run, served):
+def test_an_idle_connection_is_closed_with_only_a_408(run, served):
     async def scenario():
         async with served() as (handler, call, _):
             caller = await call()
-            assert_only_a_promise(await caller.rest())
+            assert_only_not_run_answer(await caller.read_to_end())
             assert handler.requests == handler.refusals == []
 
     run(scenario())
 
 
-def test_a_caller_that_ends_its_side_still_gets_its_answer(run, served):
+def test_a_caller_that_half_closes_still_gets_its_answer(run, served):
     async def scenario():
         async with served() as (handler, call, _):
             handler.gate.clear()
             caller = await call()
-            await caller.send(WHOLE)
+            await caller.send(REQUEST)
             caller.writer.write_eof()
-            await settled(lambda: handler.requests)
+            await wait_until(lambda: handler.requests)
             await asyncio.sleep(0.15)
             handler.gate.set()
-            answer = await caller.rest()
+            answer = await caller.read_to_end()
             assert answer.endswith(b"got body")
             assert handler.cancelled == 0
 
@@ -131,20 +133,20 @@
 
 
 @pytest.mark.parametrize("reset", [False, True], ids=["closes", "resets"])
-def test_a_caller_that_leaves_cancels_its_request(run, served, reset):
+def test_a_caller_that_disconnects_cancels_its_request(run, served, reset):
     async def scenario():
         async with served() as (handler, call, _):
             handler.gate.clear()
             caller = await call()
-            await caller.send(WHOLE)
-            await settled(lambda: handler.requests)
+            await caller.send(REQUEST)
+            await wait_until(lambda: handler.requests)
             if reset:
                 linger = struct.pack("ii", 1, 0)
                 caller.writer.get_extra_info("socket").setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, linger
                 )
             caller.writer.close()
-            await settled(lambda: handler.cancelled == 1)
+            await wait_until(lambda: handler.cancelled == 1)
 
     run(scenario())
 
@@ -153,20 +155,20 @@
     async def scenario():
         async with served() as (handler, call, connections):
             idle, busy = await call(), await call()
-            await settled(lambda: connections.open_count == 2)
+            await wait_until(lambda: connections.open_count == 2)
             handler.stopping = True
-            await busy.send(WHOLE)
-            answer = await busy.rest()
+            await busy.send(REQUEST)
+            answer = await busy.read_to_end()
             assert b"connection: close" in answer.lower()
             assert answer.endswith(b"got body")
             connections.close_idle()
-            assert_only_a_promise(await idle.rest())
+            assert_only_not_run_answer(await idle.read_to_end())
 
     run(scenario())
 
 
-def test_a_fault_of_the_handler_is_answered(run, served):
-    # Against a connection that ends without a word on its request.
+def test_an_exception_of_the_handler_is_answered(run, served):
+    # Guards against a connection that is closed without an answer.
     async def scenario():
         async with served() as (handler, call, _):
 
@@ -175,8 +177,8 @@
 
             handler.handle = fails
             caller = await call()
-            await caller.send(WHOLE)
-            answer = await caller.rest()
+            await caller.send(REQUEST)
+            answer = await caller.read_to_end()
             assert answer.startswith(b"HTTP/1.1 500")
             assert b"connection: close" in answer.lower()
 
@@ -184,7 +186,7 @@
 
 
 def test_a_head_that_cannot_be_written_is_answered(run, served):
-    # Against a connection that ends without a word on its request.
+    # Guards against a connection that is closed without an answer.
     async def scenario():
         async with served() as (handler, call, _):
 
@@ -193,57 +195,57 @@
 
             handler.handle = begins_wrongly
             caller = await call()
-            await caller.send(WHOLE)
-            answer = await caller.rest()
+            await caller.send(REQUEST)
+            answer = await caller.read_to_end()
             assert answer.startswith(b"HTTP/1.1 500")
 
     run(scenario())
 
 
-def test_a_cancellation_that_nobody_asked_for_is_answered(run, served):
-    # Against a connection that ends without a word on its request.
+def test_a_cancellation_of_an_awaited_future_is_answered(run, served):
+    # Guards against a connection that is closed without an answer.
     async def scenario():
         async with served() as (handler, call, _):
 
-            async def waits_for_what_is_cancelled(request, answer):
+            async def awaits_a_cancelled_future(request, answer):
                 waited_for = asyncio.get_running_loop().create_future()
                 waited_for.cancel()
                 await waited_for
 
-            handler.handle = waits_for_what_is_cancelled
+            handler.handle = awaits_a_cancelled_future
             caller = await call()
-            await caller.send(WHOLE)
-            answer = await caller.rest()
+            await caller.send(REQUEST)
+            answer = await caller.read_to_end()
             assert answer.startswith(b"HTTP/1.1 500")
 
     run(scenario())
 
 
-def test_a_request_to_connect_is_refused_unread(run, served):
-    # Against a success after which the parser can write no body.
+def test_a_connect_request_is_refused_unread(run, served):
+    # Guards against a 200 after which the parser cannot write a body.
     async def scenario():
         async with served() as (handler, call, _):
             caller = await call()
-            await caller.send(WHOLE.replace(b"POST", b"CONNECT"))
-            answer = await caller.rest()
+            await caller.send(REQUEST.replace(b"POST", b"CONNECT"))
+            answer = await caller.read_to_end()
             assert answer.startswith(b"HTTP/1.1 400")
             assert handler.requests == []
 
     run(scenario())
 
 
-def test_a_caller_that_speaks_http_1_0_gets_no_interim_answer(run, served):
-    # Such a caller takes an interim answer for the whole one.
+def test_an_http_1_0_caller_gets_no_interim_answer(run, served):
+    # Such a caller would read an interim answer as the final one.
     async def scenario():
         async with served() as (handler, call, _):
             handler.gate.clear()
             caller = await call()
-            await caller.send(WHOLE.replace(b"HTTP/1.1", b"HTTP/1.0"))
+            await caller.send(REQUEST.replace(b"HTTP/1.1", b"HTTP/1.0"))
             caller.writer.write_eof()
-            await settled(lambda: handler.requests)
+            await wait_until(lambda: handler.requests)
             await asyncio.sleep(0.15)
             handler.gate.set()
-            answer = await caller.rest()
+            answer = await caller.read_to_end()
             assert answer.split()[1] == b"200"
             assert answer.endswith(b"got body")
 
@@ -252,7 +254,7 @@
 
 @pytest.fixture
 def small_buffers(monkeypatch):
-    """The kernel takes little of what a connection sends."""
+    """Gives the server's connections small send buffers."""
     connected = Channel.connection_made
 
     def connection_made(channel, transport):
@@ -266,7 +268,7 @@
 
 @contextlib.asynccontextmanager
 async def slow_caller(connections):
-    """A caller that reads nothing yet, and has little room for it."""
+    """A caller with a small receive buffer that does not read yet."""
     host, _, port = connections.address.rpartition(":")
     with socket.socket() as connected:
         connected.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 * 1024)
@@ -278,8 +280,9 @@
 
 
 @pytest.mark.usefixtures("small_buffers")
-def test_an_answer_leaves_whole_before_its_connection_has_ended(run, served):
-    # Against half an answer where the process ends with the last connection.
+def test_an_answer_is_flushed_before_its_connection_is_closed(run, served):
+    # Guards against a truncated answer when the process exits after the last
+    # connection.
     async def scenario():
         async with served() as (handler, _, connections):
 
@@ -290,21 +293,21 @@
             handler.handle = answers_at_length
             handler.stopping = True
             async with slow_caller(connections) as caller:
-                await caller.send(WHOLE)
-                await settled(lambda: handler.requests)
+                await caller.send(REQUEST)
+                await wait_until(lambda: handler.requests)
                 await asyncio.sleep(0.05)
                 assert connections.open_count == 1
                 caller.writer.transport.resume_reading()
-                answer = await caller.rest()
+                answer = await caller.read_to_end()
                 assert answer.endswith(b"x" * 60_000)
-                await settled(lambda: connections.open_count == 0)
+                await wait_until(lambda: connections.open_count == 0)
 
     run(scenario())
 
 
 @pytest.mark.usefixtures("small_buffers")
-def test_a_caller_that_never_reads_is_let_go(run, served):
-    # Against a connection that is kept for ever for its last bytes.
+def test_a_caller_that_never_reads_is_disconnected(run, served):
+    # Guards against a connection that stays open for ever for its last bytes.
     async def scenario():
         async with served() as (handler, _, connections):
 
@@ -315,16 +318,16 @@
             handler.handle = answers_at_length
             handler.stopping = True
             async with slow_caller(connections) as caller:
-                await caller.send(WHOLE)
-                await settled(lambda: handler.requests)
-                await settled(lambda: connections.open_count == 0)
+                await caller.send(REQUEST)
+                await wait_until(lambda: handler.requests)
+                await wait_until(lambda: connections.open_count == 0)
 
     run(scenario())
 
 
 @pytest.mark.usefixtures("small_buffers")
-def test_a_whole_answer_stands_when_its_reader_outlasts_the_time(run, served):
-    # Against a second answer, and a connection closed after the first one.
+def test_a_slow_reader_of_a_complete_answer_gets_no_second_answer(run, served):
+    # Guards against a second answer and a close after the first one.
     async def scenario():
         async with served() as (handler, _, connections):
 
@@ -337,11 +340,11 @@
 
             handler.handle = answers_in_time
             async with slow_caller(connections) as caller:
-                await caller.send(WHOLE)
+                await caller.send(REQUEST)
                 await asyncio.sleep(0.15)
                 caller.writer.transport.resume_reading()
-                await caller.until(b"x" * 150_000)
-                await caller.send(WHOLE)
-                assert b" 200 " in await caller.until(b"\r\n\r\n")
+                await caller.read_until(b"x" * 150_000)
+                await caller.send(REQUEST)
+                assert b" 200 " in await caller.read_until(b"\r\n\r\n")
 
     run(scenario())
--- a/damaskcroft/rpc/_http.py
+++ b/damaskcroft/rpc/_http.py
@@ -17,9 +17,9 @@
 from uvicorn.server import ServerState
 
 from damaskcroft.http1 import (
-    EndingServer,
     EndTimes,
-    end_server,
+    GracefulServer,
+    shut_down_server,
     stop_listening,
 )
 from damaskcroft.observe import log_warning, metrics
@@ -37,14 +37,14 @@
 # close connections that have ended.
 _END_S = 2.0
 # For answers that were cut, to clean up.
-_CUT_S = 0.1
+_CANCEL_TIMEOUT_S = 0.1
 # Queue of connections that the kernel holds for us.
 _BACKLOG = 2048
 _T = TypeVar("_T")
 
 
-class HttpServer(EndingServer):
-    """uvicorn's connections, served and ended our way; see `EndingServer`.
+class HttpServer(GracefulServer):
+    """uvicorn's connections, served and ended our way; see `GracefulServer`.
 
     The library's own server ends all kept connections in the moment in which
     it is told to end, and looks ten times a second whether it should.
@@ -89,27 +89,27 @@
             self._date()
 
     def give_notice(self) -> None:
-        """See EndingServer."""
+        """See GracefulServer."""
         super().give_notice()
         self._face.is_ending = True
         for connection in self._connections:
             connection.note_end()
 
     async def stop_listening(self) -> None:
-        """See EndingServer."""
+        """See GracefulServer."""
         listening, self._listening = self._listening, None
         if listening is not None:
             self.queued = await stop_listening(listening, self._make_connection)
 
-    def close_idle(self, quiet_s: float = 0.0) -> None:
-        """See EndingServer."""
-        until = asyncio.get_running_loop().time() - quiet_s
+    def close_idle(self, min_idle_s: float = 0.0) -> None:
+        """See GracefulServer."""
+        until = asyncio.get_running_loop().time() - min_idle_s
         for connection in self._connections:
-            if connection.quiet_since <= until:
+            if connection.idle_since <= until:
                 connection.close_if_idle()
 
     async def close(self) -> None:
-        """See EndingServer; connections go on waiting for their callers."""
+        """See GracefulServer; connections go on waiting for their callers."""
         self.close_idle()
         for connection in self._connections:
             connection.cut()
@@ -118,28 +118,28 @@
             return
         for task in tasks:
             task.cancel()
-        _, left = await asyncio.wait(tasks, timeout=_CUT_S)
+        _, left = await asyncio.wait(tasks, timeout=_CANCEL_TIMEOUT_S)
         if left:
             log_warning("answers_held_up", count=len(left))
 
     @property
     def open_count(self) -> int:
-        """See EndingServer."""
+        """See GracefulServer."""
         return len(self._state.connections)
 
     @property
-    def is_used(self) -> bool:
-        """See EndingServer."""
+    def is_active(self) -> bool:
+        """See GracefulServer."""
         return bool(self._state.connections or self._state.tasks)
 
     @property
     def answering(self) -> int:
-        """See EndingServer."""
+        """See GracefulServer."""
         return len(self._state.tasks)
 
     @property
-    def are_all_told(self) -> bool:
-        """See EndingServer."""
+    def only_lingering_open(self) -> bool:
+        """See GracefulServer."""
         return not self.answering and len(self._face.lingering) == len(
             self._state.connections
         )
@@ -237,7 +237,7 @@
         try:
             yield server
         finally:
-            await end_server(server, _end_times(server, notice_s, end_s))
+            await shut_down_server(server, _end_times(server, notice_s, end_s))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/damaskcroft/rpc/_kept_connections.py
+++ b/damaskcroft/rpc/_kept_connections.py
@@ -115,7 +115,7 @@
     """One caller's connection.
 
     Attributes:
-        quiet_since: loop time of its last whole answer, or of its begin.
+        idle_since: loop time of its last whole answer, or of its begin.
     """
 
     def __init__(self, face: Face, config: Any, server_state: ServerState):
@@ -125,7 +125,7 @@
         self._end_announced = False
         self._is_cut = False
         self._read_at = 0.0
-        self.quiet_since = self.loop.time()
+        self.idle_since = self.loop.time()
 
     # --- Called by asyncio and the parser ------------------------------------
 
@@ -167,7 +167,7 @@
     def on_response_complete(self) -> None:
         """Goes on to the next request, or ends the connection."""
         super().on_response_complete()
-        self.quiet_since = self.loop.time()
+        self.idle_since = self.loop.time()
 
     def timeout_keep_alive_handler(self) -> None:
         """Ends the connection, since nobody has used it for long."""
--- a/damaskcroft/rpc/tests/test_kept_connections.py
+++ b/damaskcroft/rpc/tests/test_kept_connections.py
@@ -124,11 +124,11 @@
     sent = []
     close_idle = HttpServer.close_idle
 
-    def sends_first(self, quiet_s=0.0):
+    def sends_first(self, min_idle_s=0.0):
         # After the loop's last look at its sockets, before they are closed.
         if not sent:
             sent.extend(caller.sock.send(REQUEST) for caller in callers)
-        close_idle(self, quiet_s)
+        close_idle(self, min_idle_s)
 
     async def scenario():
         async with server.serve():
