--- a/damaskcroft/rpc/__init__.py
+++ b/damaskcroft/rpc/__init__.py
@@ -1,4 +1,4 @@
-"""gRPC plumbing that every process shares: channels, servers, keys."""
+"""Shared gRPC and HTTP infrastructure: channels, servers, keys, exit."""
 
 from damaskcroft._later import imported_later
 from damaskcroft.rpc._channels import (
@@ -18,9 +18,9 @@
 
 __all__ = [
     "CALL_ERRORS",
+    "HTTP_ERRORS",
     "CallerLeft",
     "ChannelPool",
-    "HTTP_ERRORS",
     "Keys",
     "KeysError",
     "called",
--- a/damaskcroft/rpc/_channels.py
+++ b/damaskcroft/rpc/_channels.py
@@ -1,4 +1,4 @@
-"""One gRPC channel for each address, opened when first used."""
+"""Pool of gRPC channels, one for each address, opened on first use."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -13,31 +13,31 @@
 
 _T = TypeVar("_T")
 
-# What a gRPC call raises when its peer is away, slow, or refuses it.
+# Raised by a gRPC call whose peer is unreachable, slow or refuses it.
 CALL_ERRORS = (
     OSError,  # Covers TimeoutError and refused connections.
     grpclib.GRPCError,
     grpclib.exceptions.StreamTerminatedError,
     grpclib.exceptions.ProtocolError,
 )
-# A peer that answers no ping for this long is taken as gone.
+# A peer that answers no ping for this long is considered lost.
 _KEEPALIVE_S = 5.0
 _CONNECTION_WINDOW_BYTES = 8 * 1024 * 1024
 _STREAM_WINDOW_BYTES = 4 * 1024 * 1024
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Splits `IP:port`; an IPv6 number stands in square brackets."""
+    """Splits `IP:port`; an IPv6 address is in square brackets."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 class Channel(grpclib.client.Channel):
-    """A channel that uses no connection which is being closed.
+    """A channel that does not use a connection that is being closed.
 
-    The library goes on using one until its close has ended; with TLS and a
-    peer that is gone that takes half a minute, in which every call fails by an
-    error that no caller of an RPC expects.
+    The library uses such a connection until its close has finished. With TLS
+    and a lost peer that takes half a minute, in which every call fails with an
+    AttributeError, which callers of an RPC do not handle.
     """
 
     @property
@@ -49,17 +49,17 @@
 
 
 class ChannelPool:
-    """Channels by address. Owned by one process; closed at its end."""
+    """Channels by address, owned by one process and closed at its end."""
 
     __slots__ = ("_channels_by_address", "_keys")
 
     def __init__(self, keys: Keys):
-        """Creates an empty pool that dials with `keys`."""
+        """Creates an empty pool that connects with `keys`."""
         self._keys = keys
         self._channels_by_address: dict[str, Channel] = {}
 
     def channel(self, address: str) -> Channel:
-        """The channel to `address`; connects only when a call is made."""
+        """Returns the channel to `address`; it connects when a call is made."""
         channel = self._channels_by_address.get(address)
         if channel is None:
             channel = self._open(address)
@@ -67,7 +67,7 @@
         return channel
 
     def drop(self, address: str) -> None:
-        """Closes the channel to an address that is known to be gone."""
+        """Closes the channel to an address that is no longer in use."""
         channel = self._channels_by_address.pop(address, None)
         if channel is not None:
             channel.close()
@@ -92,32 +92,35 @@
 
 
 async def called(call: Awaitable[_T], timeout_s: float) -> _T:
-    """Awaits a call in a task of its own, for a bounded time.
+    """Awaits a call in a separate task, for a bounded time.
 
-    The library turns a cancellation that meets a failure of the call into that
-    failure, so that whoever was cancelled goes on as if nothing had been said:
-    a former leader of control went on sending heartbeats, and no other could
-    be elected. Here the cancellation reaches the one who awaits.
+    If a call fails at the moment of its cancellation, the library raises the
+    failure instead of CancelledError, so that the cancelled task continues: a
+    former leader of control continued to send heartbeats, and no other leader
+    could be elected. Here the cancellation reaches the awaiting task.
 
     Args:
         call: a unary call that has not begun.
-        timeout_s: longest wait for its answer.
+        timeout_s: maximum time to wait for the reply.
 
     Raises:
-        TimeoutError: it is not back in time, or the library gave it up.
+        TimeoutError: no reply came in time, or the library cancelled the call.
     """
-    calling = asyncio.ensure_future(call)
-    calling.add_done_callback(_outcome_seen)
+    task = asyncio.ensure_future(call)
+    task.add_done_callback(_retrieve_outcome)
     try:
-        await asyncio.wait({calling}, timeout=timeout_s)
-        if not calling.done() or calling.cancelled():
+        await asyncio.wait({task}, timeout=timeout_s)
+        if not task.done() or task.cancelled():
             raise TimeoutError("no answer")
-        return calling.result()
+        return task.result()
     finally:
-        calling.cancel()
+        task.cancel()
 
 
-def _outcome_seen(ended: asyncio.Future) -> None:
-    """Looks at how a call ended that nobody may be waiting for any more."""
-    if not ended.cancelled():
-        ended.exception()
+def _retrieve_outcome(done: asyncio.Future) -> None:
+    """Retrieves the exception of a call that may no longer be awaited.
+
+    Otherwise asyncio logs that the exception was never retrieved.
+    """
+    if not done.cancelled():
+        done.exception()
--- a/damaskcroft/rpc/_daemon.py
+++ b/damaskcroft/rpc/_daemon.py
@@ -1,4 +1,4 @@
-"""What every daemon does around its own work: settings, logs, keys."""
+"""Common frame of all daemons: settings, logs, keys and process exit."""
 
 import asyncio
 import pathlib
@@ -13,8 +13,9 @@
 from damaskcroft.rpc._keys import Keys, KeysError, load_keys
 from damaskcroft.rpc._process import end_now, start_failure_logged
 
-# For what a program leaves at its end: tasks and threads that don't end.
-_LAST_STEPS_S = 10.0
+# For tasks and threads that still run when the work of a program has ended;
+# after this time the process is forced to exit.
+_EXIT_TIMEOUT_S = 10.0
 _SettingsT = TypeVar("_SettingsT", bound=Message)
 
 
@@ -27,18 +28,19 @@
     reference: bool,
     errors: tuple[type[Exception], ...] = (),
 ) -> None:
-    """Runs a daemon from its settings file to its end.
+    """Runs a daemon with the settings of a file until its work ends.
 
     Args:
         settings_file: the INI file.
-        kind: the daemon's settings message.
-        serve: its work; returns when it has ended gracefully.
-        check: only check the settings.
-        reference: only print all settings.
-        errors: what `serve` may raise, beside OSError, when it can't start.
+        kind: type of the daemon's settings message.
+        serve: the daemon's work; returns after a graceful shutdown.
+        check: whether to only check the settings.
+        reference: whether to only print all settings.
+        errors: exceptions, beside OSError, that `serve` raises if it cannot
+            start.
 
     Raises:
-        SystemExit: 2 for faults in the settings, 3 when it can't start.
+        SystemExit: 2 for invalid settings, 3 if the daemon cannot start.
     """
     settings: Any = settings_or_exit(
         settings_file,
@@ -46,9 +48,9 @@
         check=check,
         reference=reference,
     )
-    cannot_start: tuple[type[Exception], ...] = (KeysError, OSError, *errors)
+    start_errors: tuple[type[Exception], ...] = (KeysError, OSError, *errors)
     start_logs(settings.process.name)
-    with start_failure_logged(*cannot_start):
+    with start_failure_logged(*start_errors):
         keys = load_keys(settings.keys)
         run(_awaited(serve(settings, keys)))
 
@@ -57,4 +59,4 @@
     try:
         await work
     finally:
-        asyncio.get_running_loop().call_later(_LAST_STEPS_S, end_now)
+        asyncio.get_running_loop().call_later(_EXIT_TIMEOUT_S, end_now)
--- a/damaskcroft/rpc/_http.py
+++ b/damaskcroft/rpc/_http.py
@@ -1,4 +1,4 @@
-"""Serving HTTP for the length of a block: starlette on uvicorn."""
+"""HTTP server that runs for the duration of a block: starlette on uvicorn."""
 
 import asyncio
 import contextlib
@@ -24,40 +24,41 @@
 )
 from damaskcroft.observe import log_warning, metrics
 from damaskcroft.rpc._channels import split_address
-from damaskcroft.rpc._kept_connections import Face, KeptConnection
+from damaskcroft.rpc._kept_connections import KeepAliveConnection, SharedState
 from damaskcroft.tasks import background
 
 # The resolution of an answer's Date header (RFC 9110, 5.6.7).
-_DATE_EVERY_S = 1.0
-# Unused connections are kept for this long: what uvicorn takes by default.
+_DATE_INTERVAL_S = 1.0
+# Idle timeout of connections; the default of uvicorn.
 _IDLE_TIMEOUT_S = 5.0
-# Callers that ask often enough to keep a connection ask once in this time.
-_NOTICE_S = 0.5
-# For answers that are under way when the notice is over, and for callers to
-# close connections that have ended.
-_END_S = 2.0
-# For answers that were cut, to clean up.
+# Callers that send often enough to use a persistent connection send at least
+# one request in this time, and read that its answer is the last one.
+_NOTICE_DURATION_S = 0.5
+# For answers in progress when the notice is over, and for callers to close
+# half-closed connections.
+_DRAIN_TIMEOUT_S = 2.0
+# For cancelled requests to finish.
 _CANCEL_TIMEOUT_S = 0.1
-# Queue of connections that the kernel holds for us.
+# Length of the kernel's queue of connections to be accepted.
 _BACKLOG = 2048
 _T = TypeVar("_T")
 
 
 class HttpServer(GracefulServer):
-    """uvicorn's connections, served and ended our way; see `GracefulServer`.
+    """Server of uvicorn's connections with a graceful shutdown.
 
-    The library's own server ends all kept connections in the moment in which
-    it is told to end, and looks ten times a second whether it should.
+    uvicorn's own server closes all persistent connections as soon as it is
+    stopped, and polls ten times a second whether it should stop.
     """
 
     def __init__(
         self, app: Starlette, idle_timeout_s: float, closing_body: bytes
     ):
-        """Serves `app`; see `http_served`."""
+        """Creates a server of `app` that does not listen yet."""
         self._config = uvicorn.Config(
             app,
             loop="asyncio",
-            http=KeptConnection,
+            http=KeepAliveConnection,
             ws="none",
             lifespan="off",
             log_config=None,
@@ -66,53 +67,53 @@
         )
         self._config.load()
         self._state = ServerState()
-        self._face = Face(app, closing_body)
+        self._shared = SharedState(app, closing_body)
         self._listening: asyncio.Server | None = None
-        self._date()
+        self._update_date_header()
 
     async def listen(self, address: str) -> None:
-        """Accepts connections from now on.
+        """Starts to accept connections.
 
         Raises:
-            OSError: the address can't be bound.
+            OSError: the address cannot be bound.
         """
         loop = asyncio.get_running_loop()
         self._listening = await loop.create_server(
-            self._make_connection, sock=_bound(address), backlog=_BACKLOG
+            self._make_connection, sock=_bind(address), backlog=_BACKLOG
         )
         self.address = address
 
     async def renew_date(self) -> None:
-        """Renews the Date header until cancelled."""
+        """Updates the Date header periodically until cancelled."""
         while True:
-            await asyncio.sleep(_DATE_EVERY_S)
-            self._date()
+            await asyncio.sleep(_DATE_INTERVAL_S)
+            self._update_date_header()
 
     def give_notice(self) -> None:
-        """See GracefulServer."""
+        """Makes each answer from now on the last one of its connection."""
         super().give_notice()
-        self._face.is_ending = True
+        self._shared.is_ending = True
         for connection in self._connections:
-            connection.note_end()
+            connection.mark_answer_as_last()
 
     async def stop_listening(self) -> None:
-        """See GracefulServer."""
+        """Stops listening; connections in the kernel's queue are served."""
         listening, self._listening = self._listening, None
         if listening is not None:
             self.queued = await stop_listening(listening, self._make_connection)
 
     def close_idle(self, min_idle_s: float = 0.0) -> None:
-        """See GracefulServer."""
+        """Closes connections idle for `min_idle_s`, each by a 408."""
         until = asyncio.get_running_loop().time() - min_idle_s
         for connection in self._connections:
             if connection.idle_since <= until:
                 connection.close_if_idle()
 
     async def close(self) -> None:
-        """See GracefulServer; connections go on waiting for their callers."""
+        """Cancels remaining requests; half-closed connections still linger."""
         self.close_idle()
         for connection in self._connections:
-            connection.cut()
+            connection.end_incomplete()
         tasks = list(self._state.tasks)
         if not tasks:
             return
@@ -124,41 +125,41 @@
 
     @property
     def open_count(self) -> int:
-        """See GracefulServer."""
+        """Number of open connections."""
         return len(self._state.connections)
 
     @property
     def is_active(self) -> bool:
-        """See GracefulServer."""
+        """Whether a connection is open or a request is being processed."""
         return bool(self._state.connections or self._state.tasks)
 
     @property
     def answering(self) -> int:
-        """See GracefulServer."""
+        """Number of requests being answered."""
         return len(self._state.tasks)
 
     @property
     def only_lingering_open(self) -> bool:
-        """See GracefulServer."""
-        return not self.answering and len(self._face.lingering) == len(
+        """Whether no request runs and all connections are half closed."""
+        return not self.answering and len(self._shared.lingering) == len(
             self._state.connections
         )
 
     @property
-    def _connections(self) -> list[KeptConnection]:
+    def _connections(self) -> list[KeepAliveConnection]:
         return [
             connection
             for connection in self._state.connections
-            if isinstance(connection, KeptConnection)
+            if isinstance(connection, KeepAliveConnection)
         ]
 
-    def _date(self) -> None:
+    def _update_date_header(self) -> None:
         date = email.utils.formatdate(usegmt=True).encode()
         headers = [(b"date", date), *self._config.encoded_headers]
         self._state.default_headers = headers
 
-    def _make_connection(self) -> KeptConnection:
-        return KeptConnection(self._face, self._config, self._state)
+    def _make_connection(self) -> KeepAliveConnection:
+        return KeepAliveConnection(self._shared, self._config, self._state)
 
 
 async def _metrics(_: Request) -> Response:
@@ -174,11 +175,12 @@
     return Response(status_code=500, headers={"Connection": "close"})
 
 
-def _bound(address: str) -> socket.socket:
-    """A socket that holds the address.
+def _bind(address: str) -> socket.socket:
+    """Creates a socket that is bound to the address.
 
     Raises:
-        OSError: in use, or not of this machine; names the address.
+        OSError: the address is in use or not of this machine; the message
+            contains the address.
     """
     host, port = split_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -192,8 +194,10 @@
     return bound
 
 
-def _end_times(server: HttpServer, notice_s: float, end_s: float) -> EndTimes:
-    """Times of an end that begins now, perhaps some time after its notice."""
+def _remaining_times(
+    server: HttpServer, notice_s: float, end_s: float
+) -> EndTimes:
+    """Times of a shutdown that begins now, after an optional notice."""
     now = asyncio.get_running_loop().time()
     noticed_at = now if server.noticed_at is None else server.noticed_at
     within_s = max(0.0, noticed_at + notice_s - now) + end_s
@@ -207,21 +211,21 @@
     *,
     idle_timeout_s: float = _IDLE_TIMEOUT_S,
     closing_body: bytes = b"",
-    notice_s: float = _NOTICE_S,
-    end_s: float = _END_S,
+    notice_s: float = _NOTICE_DURATION_S,
+    end_s: float = _DRAIN_TIMEOUT_S,
 ) -> AsyncIterator[HttpServer]:
     """Serves `routes` and /metrics at `address` until the block ends.
 
     Args:
-        address: IP number and port.
-        routes: what is served.
-        idle_timeout_s: how long unused connections are kept.
-        closing_body: JSON for callers whose request crosses the end of an
-            idle connection; its status says that nothing has run.
-        notice_s: for how long, from the end of the block or a sooner
-            `give_notice` on, connections are accepted and each answer says
-            that it is its connection's last.
-        end_s: longest wait after that, for answers under way and for callers
+        address: IP address and port.
+        routes: the routes to serve.
+        idle_timeout_s: time after which an idle connection is closed.
+        closing_body: JSON body for callers whose request crosses the close of
+            an idle connection; the status 408 says that it has not run.
+        notice_s: time from the end of the block, or from an earlier
+            `give_notice`, during which connections are still accepted and each
+            answer says that it is the last one of its connection.
+        end_s: maximum time after that for answers in progress and for callers
             to close their connections.
 
     Raises:
@@ -237,22 +241,28 @@
         try:
             yield server
         finally:
-            await shut_down_server(server, _end_times(server, notice_s, end_s))
+            await shut_down_server(
+                server, _remaining_times(server, notice_s, end_s)
+            )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLeft:
-    """The caller closed its connection; the work was cancelled."""
+    """Result for a caller that disconnected; the work was cancelled."""
 
 
 async def unless_caller_leaves(
     request: Request, work: Coroutine[Any, Any, _T]
 ) -> _T | CallerLeft:
-    """Does work for a request whose body is read, while its caller stays.
+    """Runs work for a request until it is done or the caller disconnects.
 
     Args:
-        request: what comes next on it can only be the caller leaving.
-        work: cancelled when that happens.
+        request: request whose body was read, so that the next message received
+            on it is the disconnection.
+        work: work that is cancelled when the caller disconnects.
+
+    Returns:
+        The result of the work, or CallerLeft.
     """
     working = asyncio.create_task(work)
     leaving = asyncio.ensure_future(request.receive())
--- a/damaskcroft/rpc/_http_client.py
+++ b/damaskcroft/rpc/_http_client.py
@@ -1,4 +1,4 @@
-"""HTTP clients that let go of what they no longer want."""
+"""HTTP clients that close the connection of a cancelled call."""
 
 import time
 from urllib.parse import ParseResult
@@ -10,15 +10,16 @@
 from aiosonic.pools import PoolConfig
 from aiosonic.timeout import Timeouts
 
-# What an HTTP call raises when its server is away, slow or garbled.
+# Raised by an HTTP call whose server is unreachable, slow or sends invalid
+# responses.
 HTTP_ERRORS = (OSError, EOFError, ValueError, AiosonicError)
 
 
-class _ClosingConnection(Connection):
-    """Closes when its call is cancelled.
+class _CloseOnErrorConnection(Connection):
+    """Closes when its call is cancelled or fails.
 
-    The library would keep a reused connection open then, and the server
-    would go on working for nobody.
+    The library would keep a reused connection open, and the server would
+    continue to work on a request whose response is no longer read.
     """
 
     async def __aexit__(self, exc_type, exc, tb) -> None:
@@ -28,32 +29,32 @@
         await super().__aexit__(exc_type, exc, tb)
 
     def _idle_s(self) -> float | None:
-        """Time since its previous call ended; None before the first one."""
+        """Returns the time since the last call ended; None before the first."""
         if self.last_released_time is None:
             return None
         return time.monotonic() - self.last_released_time
 
 
-class _CheckedConnection(_ClosingConnection):
-    """Isn't used again once its server has ended it, or has said anything."""
+class _ReuseCheckedConnection(_CloseOnErrorConnection):
+    """Is not reused once its server has closed it or sent unexpected bytes."""
 
     def reuse(self, urlparsed: ParseResult, verify: bool) -> bool:
-        """See the library's class."""
-        return super().reuse(urlparsed, verify) and self._is_silent()
+        """Whether the connection can carry a call to this URL."""
+        return super().reuse(urlparsed, verify) and self._has_no_unread_input()
 
-    def _is_silent(self) -> bool:
+    def _has_no_unread_input(self) -> bool:
         reader = self.reader
         if reader is None or reader.at_eof():
             return False
-        # There is no public way to see what a reader has buffered.
+        # The reader has no public way to show its buffered bytes.
         return not reader._buffer  # type: ignore[attr-defined]
 
 
-class _SingleUseConnection(_ClosingConnection):
-    """Closes once its call's response has been read."""
+class _SingleUseConnection(_CloseOnErrorConnection):
+    """Closes once the response of its call has been read."""
 
     def release(self) -> None:
-        """See the library's class."""
+        """Releases the connection so that it is closed rather than kept."""
         self.keep = False
         super().release()
 
@@ -68,19 +69,20 @@
     keeps_open: bool = True,
     checks_kept: bool = True,
 ) -> aiosonic.HTTPClient:
-    """Creates a client; nothing is connected yet.
+    """Creates a client; it connects on the first call.
 
     Args:
-        connections: most connections kept.
-        connect_timeout_s: longest wait for a connection.
-        read_timeout_s: longest silence before the response's head.
-        max_requests: requests after which a connection is replaced.
-        max_idle_ms: idle time after which a connection is not used again.
-        keeps_open: whether connections stay open between two calls. They
-            count at a server whose number is bounded, also while nobody uses
-            them, and after their machine has gone.
-        checks_kept: whether a connection that its server has ended is left
-            alone; many callers' libraries send on it.
+        connections: maximum number of pooled connections.
+        connect_timeout_s: maximum time to establish a connection.
+        read_timeout_s: maximum time without data before the response's head.
+        max_requests: number of requests after which a connection is replaced.
+        max_idle_ms: idle time after which a connection is not reused.
+        keeps_open: whether connections stay open between two calls. Idle
+            connections count towards a server's maximum number of
+            connections, even after their machine is lost.
+        checks_kept: whether a pooled connection is checked before reuse and
+            dropped if its server has closed it; many client libraries send on
+            it without a check.
     """
     timeouts = Timeouts(
         sock_connect=connect_timeout_s,
@@ -102,7 +104,7 @@
 
 def _connection_class(
     keeps_open: bool, checks_kept: bool
-) -> type[_ClosingConnection]:
+) -> type[_CloseOnErrorConnection]:
     if not keeps_open:
         return _SingleUseConnection
-    return _CheckedConnection if checks_kept else _ClosingConnection
+    return _ReuseCheckedConnection if checks_kept else _CloseOnErrorConnection
--- a/damaskcroft/rpc/_keys.py
+++ b/damaskcroft/rpc/_keys.py
@@ -1,4 +1,4 @@
-"""Mutual TLS between the system's own processes (RFC 8446, RFC 5280)."""
+"""Mutual TLS between the processes of the system (RFC 8446, RFC 5280)."""
 
 import dataclasses
 import ssl
@@ -9,19 +9,19 @@
 
 
 class KeysError(Exception):
-    """Keys are missing, unreadable or not clearly switched off."""
+    """Keys are missing or unreadable, and `open` is not set."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Keys:
-    """TLS contexts of one process; both None when it runs open."""
+    """TLS contexts of one process; both None if it runs without TLS."""
 
     server: ssl.SSLContext | None
     client: ssl.SSLContext | None
 
 
 def load_keys(settings: settings_pb2.KeysSection) -> Keys:
-    """Loads this process's certificate and the authority it trusts.
+    """Loads the certificate of this process and its trusted authority.
 
     Raises:
         KeysError: files are missing or unreadable and `open` is not set.
@@ -34,16 +34,19 @@
     if settings.open:
         return Keys(None, None)
     if not all(files):
-        raise KeysError("[keys] needs three files, or a plain open = yes")
+        raise KeysError(
+            "[keys] needs certificate_file, private_key_file and"
+            " authority_file, or open = yes"
+        )
     try:
-        server = _context(ssl.Purpose.CLIENT_AUTH, settings)
-        client = _context(ssl.Purpose.SERVER_AUTH, settings)
+        server = _make_context(ssl.Purpose.CLIENT_AUTH, settings)
+        client = _make_context(ssl.Purpose.SERVER_AUTH, settings)
     except (OSError, ssl.SSLError) as error:
         raise KeysError(f"[keys] {error}") from error
     return Keys(server, client)
 
 
-def _context(
+def _make_context(
     purpose: ssl.Purpose, settings: settings_pb2.KeysSection
 ) -> ssl.SSLContext:
     context = ssl.create_default_context(
--- a/damaskcroft/rpc/_process.py
+++ b/damaskcroft/rpc/_process.py
@@ -1,4 +1,4 @@
-"""How a program begins and ends, whatever it does."""
+"""Stop signals, start failures and forced exit of a program."""
 
 import asyncio
 import contextlib
@@ -10,14 +10,14 @@
 
 _EXIT_CANNOT_START = 3
 _EXIT_FORCED = 4
-# For the log, at an end that is forced.
-_LAST_LINES_S = 0.1
-# Tasks that are named when an end is forced.
-_MOST_NAMED = 5
+# For the last log lines to be written before a forced exit.
+_LOG_FLUSH_TIMEOUT_S = 0.1
+# Maximum number of remaining tasks that the log of a forced exit names.
+_MAX_LOGGED_TASKS = 5
 
 
 def stop_event() -> asyncio.Event:
-    """An event that SIGTERM and SIGINT set, in the running loop."""
+    """Returns an event of the running loop that SIGTERM and SIGINT set."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -27,7 +27,7 @@
 
 @contextlib.contextmanager
 def start_failure_logged(*errors: type[Exception]) -> Iterator[None]:
-    """Runs a program; ends it with a logged event when it can't start.
+    """Runs a program in the block; logs an event if it cannot start.
 
     Raises:
         SystemExit: 3 after one of `errors`.
@@ -41,13 +41,14 @@
 
 
 def end_now() -> None:
-    """Ends a process whose last steps take too long; for a timer to call.
+    """Forces a process to exit; called by a timer when its end takes too long.
 
-    At a program's end asyncio waits for tasks and threads without a bound.
+    At a program's end asyncio waits for tasks and threads without a time
+    limit.
     """
     left = [str(task.get_coro()) for task in asyncio.all_tasks()]
     log_warning(
-        "end_forced", tasks=len(left), named=", ".join(left[:_MOST_NAMED])
+        "end_forced", tasks=len(left), named=", ".join(left[:_MAX_LOGGED_TASKS])
     )
-    end_logs(_LAST_LINES_S)
+    end_logs(_LOG_FLUSH_TIMEOUT_S)
     os._exit(_EXIT_FORCED)
--- a/damaskcroft/rpc/_server.py
+++ b/damaskcroft/rpc/_server.py
@@ -1,4 +1,4 @@
-"""Serving gRPC for the length of a block."""
+"""gRPC server that runs for the duration of a block."""
 
 import asyncio
 import contextlib
@@ -14,8 +14,8 @@
 
 _CONNECTION_WINDOW_BYTES = 8 * 1024 * 1024
 _STREAM_WINDOW_BYTES = 4 * 1024 * 1024
-# For calls that were cancelled at the end of the block, to end.
-_END_S = 2.0
+# For calls cancelled at the end of the block to finish.
+_SHUTDOWN_TIMEOUT_S = 2.0
 
 
 @contextlib.asynccontextmanager
@@ -24,7 +24,7 @@
 ) -> AsyncIterator[Server]:
     """Serves `services` at `address` until the block ends.
 
-    Calls still running then are cancelled, and waited for, but not for ever.
+    Calls still running then are cancelled and awaited for a bounded time.
     """
     config = Configuration(
         http2_connection_window_size=_CONNECTION_WINDOW_BYTES,
@@ -38,7 +38,7 @@
     finally:
         server.close()
         try:
-            async with asyncio.timeout(_END_S):
+            async with asyncio.timeout(_SHUTDOWN_TIMEOUT_S):
                 await server.wait_closed()
         except TimeoutError:
             log_warning("calls_held_up", address=address)
--- a/damaskcroft/rpc/tests/test_channels.py
+++ b/damaskcroft/rpc/tests/test_channels.py
@@ -1,14 +1,14 @@
-"""Calls on a connection that the library has given up.
+"""Calls on a closing connection, and cancellation and time-outs of calls.
 
-What was found: when a peer answers no keepalive, the library closes the
-connection, but calls go on using it until the close has ended; under TLS with
-a peer that is gone that takes half a minute. Each of them failed with
+Guards against two faults of the library. When a peer answers no keepalive, the
+library closes the connection, but calls use it until the close has finished;
+under TLS with a lost peer that takes half a minute. Each of them failed with
 `AttributeError: 'Connection' object has no attribute '_transport'`, which
-nobody who makes calls expects. It would have ended a control node's election
-task, and the task that keeps an agent's lease, in silence; neither was seen.
+callers do not handle. It would silently have ended a control node's election
+task and the task that renews an agent's lease; neither was observed.
 
-And: a call that fails in the moment in which its task is cancelled hides the
-cancellation. That was seen, and kept control without a leader for a minute
+A call that fails at the moment when its task is cancelled hides the
+cancellation. This was observed, and left control without a leader for a minute
 (consensus/tests/test_elections.py).
 """
 
@@ -47,12 +47,12 @@
     return reply.content
 
 
-def test_a_connection_that_is_being_closed_is_used_no_more(address):
+def test_a_connection_that_is_being_closed_is_not_used(address):
     async def scenario():
         pool = ChannelPool(OPEN)
         async with grpc_served(address, [Peer()], OPEN):
             assert await ask(pool, address) == b"here"
-            # What the library does when a keepalive has not been answered.
+            # The library does this when a keepalive was not answered.
             channel = pool.channel(address)
             channel._protocol.processor.connection.close()
             answers = [await ask(pool, address) for _ in range(3)]
@@ -63,26 +63,26 @@
 
 
 def test_a_call_that_is_cancelled_as_it_fails_ends_its_task(address):
-    """The library tells the failure alone; whoever cancelled waits for ever."""
+    """Guards against a library that raises only the failure of the call."""
 
     async def scenario():
         pool = ChannelPool(OPEN)
-        ended = []
+        errors = []
 
-        async def asks_for_ever():
+        async def call_repeatedly():
             stub = agent_grpc.ChunksStub(pool.channel(address))
             while True:
                 try:
                     await called(stub.Exchange(agent_pb2.Rumour()), 30.0)
                 except CALL_ERRORS as error:
-                    ended.append(error)
+                    errors.append(error)
                     await asyncio.sleep(0.01)
 
         async with grpc_served(address, [Peer()], OPEN):
-            task = asyncio.create_task(asks_for_ever())
+            task = asyncio.create_task(call_repeatedly())
             await asyncio.sleep(0.3)
-            # The connection breaks, and in the same moment nobody wants the
-            # answer any more.
+            # The connection is lost and the task is cancelled at the same
+            # moment.
             pool.channel(address)._protocol.connection_lost(None)
             task.cancel()
             await asyncio.wait([task], timeout=2)
@@ -95,7 +95,7 @@
     assert asyncio.run(scenario())
 
 
-def test_a_call_has_a_bound_that_the_library_can_not_miss(address):
+def test_a_call_without_a_reply_times_out(address):
     async def scenario():
         pool = ChannelPool(OPEN)
         async with grpc_served(address, [Peer()], OPEN):
@@ -109,8 +109,8 @@
     assert asyncio.run(scenario()) < 2
 
 
-class HeldUp(Peer):
-    """Goes on for five seconds when it is cancelled."""
+class UncancellablePeer(Peer):
+    """Continues for five seconds and ignores cancellation."""
 
     def __init__(self):
         self.called = asyncio.Event()
@@ -123,18 +123,18 @@
                 await asyncio.sleep(0.1)
 
 
-def test_a_call_that_goes_on_when_cancelled_does_not_hold_up_the_end(address):
-    # Against a program that waits at its end for a call without a bound.
+def test_a_call_that_ignores_cancellation_does_not_delay_the_shutdown(address):
+    # Guards against a shutdown that waits for a call without a time limit.
     async def scenario():
-        pool, peer = ChannelPool(OPEN), HeldUp()
+        pool, peer = ChannelPool(OPEN), UncancellablePeer()
         async with grpc_served(address, [peer], OPEN):
             stub = agent_grpc.ChunksStub(pool.channel(address))
             async with stub.Exchange.open() as stream:
                 await stream.send_request()
                 await peer.called.wait()
                 await stream.cancel()
-            told_at = asyncio.get_running_loop().time()
+            stopped_at = asyncio.get_running_loop().time()
         pool.close()
-        assert asyncio.get_running_loop().time() - told_at < 3.5
+        assert asyncio.get_running_loop().time() - stopped_at < 3.5
 
     asyncio.run(scenario())
--- a/damaskcroft/rpc/tests/test_daemon_end.py
+++ b/damaskcroft/rpc/tests/test_daemon_end.py
@@ -1,4 +1,4 @@
-"""A daemon that leaves work behind which never ends."""
+"""Forced exit of a daemon whose tasks or threads never end."""
 
 import signal
 import subprocess
@@ -11,19 +11,19 @@
 import asyncio, contextlib, threading, types
 from damaskcroft.rpc import _daemon, stop_event
 
-_daemon._LAST_STEPS_S = 0.5
+_daemon._EXIT_TIMEOUT_S = 0.5
 _daemon.settings_or_exit = lambda *_, **__: types.SimpleNamespace(
     process=types.SimpleNamespace(name="a"), keys=None
 )
 _daemon.load_keys = lambda keys: keys
 
-async def deaf():
+async def ignore_cancellation():
     while True:
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.sleep(100)
 
 async def task():
-    asyncio.create_task(deaf())
+    asyncio.create_task(ignore_cancellation())
 
 async def thread():
     asyncio.get_running_loop().run_in_executor(None, threading.Event().wait)
@@ -39,8 +39,8 @@
 
 
 @pytest.mark.parametrize("left", ["task", "thread"])
-def test_what_a_daemon_leaves_behind_does_not_keep_it(left):
-    # Against a daemon that never ends, without a line that says why.
+def test_a_task_or_thread_left_running_does_not_keep_a_daemon_alive(left):
+    # Guards against a daemon that never exits and does not log why.
     started = subprocess.Popen(
         [sys.executable, "-c", PROGRAM.format(left=left)],
         stdout=subprocess.PIPE,
@@ -50,9 +50,9 @@
         while "serving" not in started.stdout.readline():
             assert started.poll() is None
         started.send_signal(signal.SIGTERM)
-        told_at = time.monotonic()
+        stopped_at = time.monotonic()
         lines, _ = started.communicate(timeout=5)
-        assert time.monotonic() - told_at < 3.0
+        assert time.monotonic() - stopped_at < 3.0
     finally:
         started.kill()
         started.wait()
--- a/damaskcroft/rpc/tests/test_end_of_server.py
+++ b/damaskcroft/rpc/tests/test_end_of_server.py
@@ -1,10 +1,11 @@
-"""Callers that ask again and again while a server ends.
-
-What happened: 45 callers kept connections to three control nodes, each of
-which was told to end once; 1 to 5 requests a play got neither an answer nor a
-refusal. In each case the answer before, which kept the connection, and the 408
-that ended it came in one read. A caller that reads one answer at a time drops
-what follows it, and sends its next request on a connection that has ended.
+"""Callers that send one request after another during a shutdown.
+
+Guards against requests that get neither an answer nor a refusal. 45 callers
+had persistent connections to three control nodes, each of which was stopped
+once; 1 to 5 requests in each run were lost. In each case the previous answer,
+which kept the connection open, and the 408 that closed it arrived in one read.
+A caller that reads one answer at a time discards the bytes after it, and sends
+its next request on a connection that is already half closed.
 """
 
 import asyncio
@@ -24,8 +25,8 @@
 SERVED_S = 0.3
 
 
-class Face:
-    """A server and how often it did its work."""
+class WorkServer:
+    """A server that counts the requests it has run."""
 
     def __init__(self):
         self.address = free_address()
@@ -36,23 +37,25 @@
         self.runs += 1
         return PlainTextResponse("done")
 
-    def served(self, **options):
+    def serve(self, **options):
         routes = [Route("/work", self.work, methods=["POST"])]
         return http_served(self.address, routes, **options)
 
 
 @pytest.fixture
-def face():
-    return Face()
+def work_server():
+    return WorkServer()
 
 
-def test_no_promise_comes_behind_an_answer_that_keeps_its_connection(face):
+def test_no_408_follows_an_answer_that_keeps_its_connection_open(work_server):
     outcomes = collections.Counter()
 
     async def scenario():
-        async with face.served():
+        async with work_server.serve():
             asking = [
-                asyncio.create_task(asks_on(face.address, REQUEST, outcomes))
+                asyncio.create_task(
+                    asks_on(work_server.address, REQUEST, outcomes)
+                )
                 for _ in range(CALLERS)
             ]
             await asyncio.sleep(SERVED_S)
@@ -60,11 +63,13 @@
 
     asyncio.run(scenario())
     assert set(outcomes) <= {"200", "408"}
-    assert outcomes["200"] == face.runs
+    assert outcomes["200"] == work_server.runs
 
 
-def test_a_stream_begun_before_the_end_is_not_followed_at_once(face):
-    # Its head has promised to keep the connection.
+def test_a_408_does_not_follow_a_stream_begun_before_the_shutdown_at_once(
+    work_server,
+):
+    # The stream's head has announced that the connection stays open.
     async def scenario():
         goes_on = asyncio.Event()
 
@@ -78,14 +83,14 @@
             return StreamingResponse(body(), headers=headers)
 
         routes = [Route("/work", parts, methods=["POST"])]
-        async with http_served(face.address, routes):
-            caller = await KeptCaller.connected(face.address)
+        async with http_served(work_server.address, routes):
+            caller = await KeptCaller.connected(work_server.address)
             asking = asyncio.create_task(caller.asks(REQUEST))
             await asyncio.sleep(0.1)
             loop = asyncio.get_running_loop()
             loop.call_later(1.0, goes_on.set)
         answer = await asking
-        # What ends the connection comes by itself.
+        # The 408 that closes the connection arrives separately.
         promise = await caller.answer()
         caller.close()
         return answer, promise
@@ -95,11 +100,11 @@
     assert promise == Got("408", keeps=False, followed_by=0)
 
 
-def test_connections_made_after_the_notice_are_answered_once(face):
+def test_connections_made_after_the_notice_are_answered_once(work_server):
     async def scenario():
-        async with face.served() as server:
+        async with work_server.serve() as server:
             server.give_notice()
-            caller = await KeptCaller.connected(face.address)
+            caller = await KeptCaller.connected(work_server.address)
             got = await caller.asks(REQUEST)
             caller.close()
         return got
@@ -107,11 +112,11 @@
     assert asyncio.run(scenario()) == Got("200", keeps=False, followed_by=0)
 
 
-def test_a_notice_given_early_is_not_waited_for_again(face):
+def test_the_time_since_an_early_notice_counts(work_server):
     async def scenario():
         loop = asyncio.get_running_loop()
-        async with face.served(notice_s=1.0, end_s=0.3) as server:
-            caller = await KeptCaller.connected(face.address)
+        async with work_server.serve(notice_s=1.0, end_s=0.3) as server:
+            caller = await KeptCaller.connected(work_server.address)
             server.give_notice()
             await asyncio.sleep(1.1)
             ending_at = loop.time()
@@ -121,11 +126,11 @@
     assert asyncio.run(scenario()) < 0.9
 
 
-def test_a_request_that_comes_no_further_is_told_so_at_the_end(face):
-    # Against a 500 that says its outcome isn't known.
+def test_an_incomplete_request_gets_a_408_at_the_shutdown(work_server):
+    # Guards against a 500, which says that its outcome is unknown.
     async def scenario():
-        async with face.served(notice_s=0.1, end_s=0.1):
-            caller = await KeptCaller.connected(face.address)
+        async with work_server.serve(notice_s=0.1, end_s=0.1):
+            caller = await KeptCaller.connected(work_server.address)
             asking = asyncio.create_task(caller.asks(REQUEST[:-2]))
             await asyncio.sleep(0.1)
         got = await asking
@@ -133,4 +138,4 @@
         return got
 
     assert asyncio.run(scenario()) == Got("408", keeps=False, followed_by=0)
-    assert face.runs == 0
+    assert work_server.runs == 0
--- a/damaskcroft/rpc/tests/test_http.py
+++ b/damaskcroft/rpc/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Serving HTTP costs little while nobody asks."""
+"""An HTTP server: its idle cost, its Date header and its error answers."""
 
 import asyncio
 
@@ -10,32 +10,32 @@
 from damaskcroft.standins.loopback import own_network, ports
 
 SERVED_S = 2.0
-# Two programs' addresses in a process that wakes 40 times a second at most.
-MOST_TIMERS = 10
+# Allows two addresses in a process that wakes at most 40 times a second.
+MAX_TIMERS = 10
 ADDRESS = f"{own_network().prefix}.31:{next(ports())}"
 
 
-def test_an_address_that_nobody_asks_wakes_its_process_seldom(monkeypatch):
-    """Before: ten times a second for each address."""
+def test_a_server_without_requests_wakes_its_process_seldom(monkeypatch):
+    """Guards against uvicorn's polling, ten times a second for each address."""
     timers = 0
     call_at = asyncio.BaseEventLoop.call_at
 
-    def counted(self, *args, **options):
+    def count_call(self, *args, **options):
         nonlocal timers
         timers += 1
         return call_at(self, *args, **options)
 
     async def scenario():
         async with http_served(ADDRESS, []):
-            monkeypatch.setattr(asyncio.BaseEventLoop, "call_at", counted)
+            monkeypatch.setattr(asyncio.BaseEventLoop, "call_at", count_call)
             await asyncio.sleep(SERVED_S)
             monkeypatch.undo()
 
     asyncio.run(scenario())
-    assert timers <= MOST_TIMERS
+    assert timers <= MAX_TIMERS
 
 
-def test_answers_bear_the_date_and_the_end_is_not_waited_for():
+def test_answers_have_a_date_and_the_shutdown_is_immediate():
     async def scenario():
         loop = asyncio.get_running_loop()
         async with http_served(ADDRESS, []):
@@ -51,8 +51,8 @@
     asyncio.run(scenario())
 
 
-def test_a_fault_of_a_route_is_answered_and_counted():
-    # Against a connection that ends without a word on its request.
+def test_an_exception_of_a_route_is_answered_and_counted():
+    # Guards against a connection that is closed without an answer.
     async def fails(_):
         raise KeyError("fault")
 
--- a/damaskcroft/rpc/tests/test_http_client.py
+++ b/damaskcroft/rpc/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""Our own calls over connections that their server has ended meanwhile."""
+"""Calls over pooled connections that their server has closed."""
 
 import asyncio
 
@@ -14,14 +14,15 @@
     return PlainTextResponse("done")
 
 
-@pytest.mark.parametrize("looks", [True, False])
-def test_no_call_is_sent_on_a_connection_whose_server_has_ended_it(looks):
-    # Against calls that a stopping or idle server can only answer by 408.
+@pytest.mark.parametrize("checks_reuse", [True, False])
+def test_no_call_is_sent_on_a_connection_closed_by_its_server(checks_reuse):
+    # Guards against calls that a server can only answer by a 408, because it
+    # is stopping or the connection was idle for too long.
     async def scenario():
         address = free_address()
         routes = [Route("/work", _work, methods=["POST"])]
         client = make_http_client(
-            connections=1, connect_timeout_s=1, checks_kept=looks
+            connections=1, connect_timeout_s=1, checks_kept=checks_reuse
         )
         async with client, http_served(address, routes, idle_timeout_s=0.1):
             statuses = []
@@ -35,4 +36,4 @@
             await client.aclose()
         return statuses
 
-    assert asyncio.run(scenario()) == [200, 200 if looks else 408]
+    assert asyncio.run(scenario()) == [200, 200 if checks_reuse else 408]
--- a/damaskcroft/rpc/tests/test_kept_connections.py
+++ b/damaskcroft/rpc/tests/test_kept_connections.py
@@ -1,13 +1,13 @@
-"""Callers with kept connections send while a server ends.
-
-What happened: an entry that was told to stop closed all idle connections at
-once, half a second later. A request that was on its way then, or that a
-caller sent without having looked at its connection, was reset, or its
-connection ended without a byte: its caller could not tell whether it had run.
-Of 300 callers that sent once between 0.35 and 0.75 s after SIGTERM, 5 and 6
-were reset (two runs). The entry's log had `stopping running=4`, refusals as
-`stopping` up to 0.44 s after it, and no line about the lost ones: their bytes
-were unread in the kernel when the connection was closed.
+"""Callers with persistent connections that send during a shutdown.
+
+Guards against an entry that closes all idle connections at once, half a second
+after it is stopped. A request in transit, or sent without a check of the
+connection, was then reset, or its connection was closed without an answer: its
+caller could not tell whether it had run. Of 300 callers that sent one request
+between 0.35 and 0.75 s after SIGTERM, 5 and 6 were reset (two runs). The
+entry's log had `stopping running=4`, refusals as `stopping` up to 0.44 s after
+it, and no line about the lost requests, because their bytes were unread in the
+kernel when the connection was closed.
 """
 
 import asyncio
@@ -27,15 +27,15 @@
 from damaskcroft.standins.loopback import free_address
 
 REQUEST = b"POST /work HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody"
-# Callers that send at moments spread over the whole end of the server.
+# Callers that send at times spread over the whole shutdown.
 CALLERS = 60
 END_S = 0.3
-# After the end of a connection; client libraries pool them for longer.
-LATE_S = 1.5
+# Time after the close of a connection; client libraries pool it for longer.
+SEND_DELAY_S = 1.5
 
 
-class Served:
-    """A server's address and what it has run."""
+class WorkServer:
+    """A server that counts the requests it has run."""
 
     def __init__(self, address):
         self.address = address
@@ -55,29 +55,29 @@
 
 @pytest.fixture
 def server():
-    return Served(free_address())
+    return WorkServer(free_address())
 
 
 class Caller:
-    """A caller with a kept connection that never looks before it sends."""
+    """A caller that does not check its persistent connection before sending."""
 
     def __init__(self, sock):
         self.sock = sock
 
     @classmethod
-    async def connected(cls, place):
+    async def open(cls, place):
         sock = socket.create_connection(place)
         sock.setblocking(False)
         caller = cls(sock)
         await caller.send(REQUEST)
-        assert b"200 OK" in await caller.received(b"done")
+        assert b"200 OK" in await caller.receive(b"done")
         return caller
 
     async def send(self, data):
         await asyncio.get_running_loop().sock_sendall(self.sock, data)
 
-    async def received(self, end=None):
-        """All bytes up to `end`, or to the end of the connection."""
+    async def receive(self, end=None):
+        """Reads all bytes up to `end`, or until the connection is closed."""
         loop = asyncio.get_running_loop()
         data = b""
         async with asyncio.timeout(10):
@@ -88,12 +88,12 @@
                 data += piece
         return data
 
-    async def asks_after(self, pause_s):
-        """What a request gets: an answer's status, or how it was lost."""
+    async def send_after(self, pause_s):
+        """Sends a request; returns its status, or how it was lost."""
         await asyncio.sleep(pause_s)
         try:
             await self.send(REQUEST)
-            answer = await self.received()
+            answer = await self.receive()
         except OSError as error:
             return type(error).__name__
         finally:
@@ -101,15 +101,13 @@
         return answer.split()[1].decode() if answer else "no byte"
 
 
-def test_each_request_that_crosses_the_end_of_a_server_is_answered(server):
+def test_each_request_that_crosses_a_shutdown_is_answered(server):
     async def scenario():
         async with server.serve():
-            callers = [
-                await Caller.connected(server.place) for _ in range(CALLERS)
-            ]
+            callers = [await Caller.open(server.place) for _ in range(CALLERS)]
             runs = server.runs
             asking = [
-                asyncio.create_task(caller.asks_after(END_S * n / CALLERS))
+                asyncio.create_task(caller.send_after(END_S * n / CALLERS))
                 for n, caller in enumerate(callers)
             ]
         return [await task for task in asking], server.runs - runs
@@ -119,13 +117,13 @@
     assert outcomes.count("200") == runs
 
 
-def test_bytes_unread_at_the_end_reset_no_connection(server, monkeypatch):
+def test_bytes_unread_at_the_close_reset_no_connection(server, monkeypatch):
     callers = []
     sent = []
     close_idle = HttpServer.close_idle
 
-    def sends_first(self, min_idle_s=0.0):
-        # After the loop's last look at its sockets, before they are closed.
+    def send_before_close(self, min_idle_s=0.0):
+        # Sent after the loop has last polled its sockets and before the close.
         if not sent:
             sent.extend(caller.sock.send(REQUEST) for caller in callers)
         close_idle(self, min_idle_s)
@@ -133,11 +131,11 @@
     async def scenario():
         async with server.serve():
             for _ in range(CALLERS):
-                callers.append(await Caller.connected(server.place))
+                callers.append(await Caller.open(server.place))
             runs = server.runs
-            monkeypatch.setattr(HttpServer, "close_idle", sends_first)
+            monkeypatch.setattr(HttpServer, "close_idle", send_before_close)
         assert len(sent) == CALLERS
-        outcomes = [await caller.received() for caller in callers]
+        outcomes = [await caller.receive() for caller in callers]
         return {o.split()[1] for o in outcomes}, server.runs - runs
 
     assert asyncio.run(scenario()) == ({b"408"}, 0)
@@ -160,8 +158,8 @@
     assert outcomes.count("200") == runs
 
 
-def test_a_connection_made_just_now_is_not_ended_as_idle(server):
-    # Against a 408 for a request that is on its way.
+def test_a_connection_just_accepted_is_not_closed_as_idle(server):
+    # Guards against a 408 for a request in transit.
     async def scenario():
         async with server.serve() as served:
             caller = Caller(socket.create_connection(server.place))
@@ -172,7 +170,7 @@
             ending = asyncio.create_task(drained(served, times))
             await asyncio.sleep(0.1)
             await caller.send(REQUEST)
-            answer = await caller.received()
+            answer = await caller.receive()
             caller.sock.close()
             await ending
         assert answer.startswith(b"HTTP/1.1 200")
@@ -182,7 +180,7 @@
 
 
 def test_no_connection_is_made_after_the_last_accept(server):
-    # Against a whole request on a new connection that is reset.
+    # Guards against a reset of a new connection with a complete request.
     callers = LateCallers(REQUEST)
 
     async def scenario():
@@ -198,15 +196,15 @@
     assert outcomes.count("200") == runs
 
 
-def test_an_idle_connection_ends_with_a_promise_that_nothing_ran(server):
+def test_an_idle_connection_is_closed_by_a_408_with_the_closing_body(server):
     async def scenario():
         async with server.serve(idle_timeout_s=0.1, closing_body=b"{}"):
-            caller = await Caller.connected(server.place)
+            caller = await Caller.open(server.place)
             runs = server.runs
             await asyncio.sleep(0.3)
-            # It has been closed by now; this caller did not look.
+            # The connection is closed by now; this caller has not read from it.
             await caller.send(REQUEST)
-            answer = await caller.received()
+            answer = await caller.receive()
             assert server.runs == runs
             return answer.lower()
 
@@ -217,30 +215,30 @@
 
 
 @pytest.mark.parametrize("part", [len(REQUEST), 20])
-def test_what_comes_as_the_idle_timeout_ends_is_answered_or_told(server, part):
-    # Sent while the loop stands still, over the end of the timeout.
+def test_a_request_sent_as_the_idle_timeout_expires_gets_200_or_408(
+    server, part
+):
+    # Sent while the loop is blocked until the timeout has expired.
     idle_s = 0.3
 
     async def scenario():
         async with server.serve(idle_timeout_s=idle_s):
-            callers = [
-                await Caller.connected(server.place) for _ in range(CALLERS)
-            ]
+            callers = [await Caller.open(server.place) for _ in range(CALLERS)]
             runs = server.runs
 
-            def stand_still():
+            def block_loop():
                 for caller in callers:
                     caller.sock.send(REQUEST[:part])
                 time.sleep(idle_s)
 
-            asyncio.get_running_loop().call_later(0.1, stand_still)
+            asyncio.get_running_loop().call_later(0.1, block_loop)
             await asyncio.sleep(idle_s + 0.2)
             if part < len(REQUEST):
                 for caller in callers:
                     caller.sock.send(REQUEST[part:])
             await asyncio.sleep(0.05)
             statuses = [
-                (await caller.received()).split()[1] for caller in callers
+                (await caller.receive()).split()[1] for caller in callers
             ]
             return statuses, server.runs - runs
 
@@ -250,22 +248,20 @@
 
 
 @pytest.mark.parametrize("idle_timeout_s", [60.0, 0.1])
-def test_a_library_that_pools_connections_reads_that_nothing_ran(
-    server, idle_timeout_s
-):
-    # Against a reset that the library meets before it looks at its buffer.
+def test_a_client_library_with_a_pool_reads_the_408(server, idle_timeout_s):
+    # Guards against a reset that the library sees before it reads its buffer.
     async def scenario():
         async with aiosonic.HTTPClient() as client:
             async with server.serve(idle_timeout_s=idle_timeout_s):
                 url = f"http://{server.address}/work"
                 await client.post(url, data=b"body")
-                asking = asyncio.create_task(asks_late(client, url))
-                if idle_timeout_s < LATE_S:
+                asking = asyncio.create_task(send_late(client, url))
+                if idle_timeout_s < SEND_DELAY_S:
                     await asking
             return await asking
 
-    async def asks_late(client, url):
-        await asyncio.sleep(LATE_S)
+    async def send_late(client, url):
+        await asyncio.sleep(SEND_DELAY_S)
         response = await client.post(url, data=b"body")
         return response.status_code
 
@@ -273,11 +269,11 @@
     assert server.runs == 1
 
 
-def test_the_end_waits_only_so_long_for_callers_to_close(server):
+def test_the_wait_for_callers_to_close_is_bounded(server):
     async def scenario():
         loop = asyncio.get_running_loop()
         async with server.serve(notice_s=0.1, end_s=0.2):
-            caller = await Caller.connected(server.place)
+            caller = await Caller.open(server.place)
             began_at = loop.time()
         caller.sock.close()
         return loop.time() - began_at
@@ -285,8 +281,9 @@
     assert 0.3 <= asyncio.run(scenario()) < 1.0
 
 
-def test_an_answer_begun_before_the_end_is_followed_by_the_promise(server):
-    # Against an end without a word after a head that promised to keep on.
+def test_an_answer_begun_before_the_shutdown_is_followed_by_a_408(server):
+    # Guards against a close without a 408 after a head that keeps the
+    # connection open.
     async def scenario():
         goes_on = asyncio.Event()
 
@@ -304,11 +301,11 @@
             sock.setblocking(False)
             caller = Caller(sock)
             await caller.send(REQUEST)
-            head = await caller.received(b"do\r\n")
+            head = await caller.receive(b"do\r\n")
             assert b"connection: close" not in head.lower()
             loop = asyncio.get_running_loop()
             loop.call_later(0.3, goes_on.set)
-        return await caller.received()
+        return await caller.receive()
 
     rest = asyncio.run(scenario())
     whole, _, promise = rest.partition(b"0\r\n\r\n")
@@ -316,13 +313,13 @@
     assert promise.startswith(b"HTTP/1.1 408")
 
 
-def test_a_part_of_a_request_at_the_end_is_told_as_not_run(server):
+def test_an_incomplete_request_at_the_shutdown_gets_a_408(server):
     async def scenario():
         async with server.serve():
-            caller = await Caller.connected(server.place)
+            caller = await Caller.open(server.place)
             await caller.send(REQUEST[:20])
             await asyncio.sleep(0.05)
-        return await caller.received()
+        return await caller.receive()
 
     assert asyncio.run(scenario()).startswith(b"HTTP/1.1 408")
 
@@ -346,12 +343,12 @@
             for _ in range(10):
                 await caller.send(b"x" * 200_000)
                 await asyncio.sleep(0.01)
-            return await caller.received()
+            return await caller.receive()
 
     assert b" 413 " in asyncio.run(scenario())
 
 
-def test_an_address_in_use_is_an_error_that_names_it(server):
+def test_an_address_in_use_raises_an_error_that_contains_it(server):
     async def scenario():
         async with server.serve():
             with pytest.raises(OSError, match=server.address):
--- a/damaskcroft/rpc/tests/test_unanswered.py
+++ b/damaskcroft/rpc/tests/test_unanswered.py
@@ -1,4 +1,4 @@
-"""Requests read whole whose connections end before their answers do."""
+"""Logs and counts of requests whose connections end before the answer."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def lines(monkeypatch):
-    """Events that connections log, by name, with their fields."""
+    """Events that connections log, as names and fields."""
     logged = []
 
     def log(event, **fields):
@@ -28,22 +28,22 @@
     return logged
 
 
-class Face:
-    """Answers a part, then waits or fails."""
+class WorkServer:
+    """Sends a part of an answer, then waits or fails."""
 
     def __init__(self):
         self.address = free_address()
         self.begun = asyncio.Event()
         self.fails = False
-        self.says_part = True
+        self.sends_part = True
 
-    def served(self):
+    def serve(self):
         route = Route("/things/{thing}", self._work, methods=["POST"])
         return http_served(self.address, [route], notice_s=0.1, end_s=0.1)
 
     async def _work(self, request: Request):
         json.loads(await request.body())
-        if not self.says_part:
+        if not self.sends_part:
             self.begun.set()
             await asyncio.sleep(60)
         return StreamingResponse(self._parts())
@@ -56,27 +56,27 @@
         await asyncio.sleep(60)
 
 
-def counted(ended_by, reason):
+def read_counter(ended_by, reason):
     return metrics.UNANSWERED.labels(ended_by, reason)._value.get()
 
 
-async def asked(face):
-    caller = await KeptCaller.connected(face.address)
+async def send_request(work_server):
+    caller = await KeptCaller.connected(work_server.address)
     asking = asyncio.create_task(caller.asks(REQUEST))
     async with asyncio.timeout(5):
-        await face.begun.wait()
+        await work_server.begun.wait()
     return caller, asking
 
 
-@pytest.mark.parametrize("says_part", [True, False])
-def test_a_caller_that_leaves_is_logged_and_counted(lines, says_part):
-    before = counted("caller", "caller_left")
+@pytest.mark.parametrize("sends_part", [True, False])
+def test_a_caller_that_disconnects_is_logged_and_counted(lines, sends_part):
+    before = read_counter("caller", "caller_left")
 
     async def scenario():
-        face = Face()
-        face.says_part = says_part
-        async with face.served():
-            caller, asking = await asked(face)
+        work_server = WorkServer()
+        work_server.sends_part = sends_part
+        async with work_server.serve():
+            caller, asking = await send_request(work_server)
             asking.cancel()
             await asyncio.gather(asking, return_exceptions=True)
             caller.close()
@@ -91,10 +91,10 @@
         "reason": "caller_left",
         "method": "POST",
         "path": "/things/{thing}",
-        "begun": says_part,
+        "begun": sends_part,
         "state": "serving",
     }
-    assert counted("caller", "caller_left") == before + 1
+    assert read_counter("caller", "caller_left") == before + 1
 
 
 @pytest.mark.parametrize(
@@ -104,13 +104,13 @@
 def test_an_answer_that_the_server_breaks_off_is_logged_and_counted(
     lines, fails, reason, state
 ):
-    before = counted("server", reason)
+    before = read_counter("server", reason)
 
     async def scenario():
-        face = Face()
-        face.fails = fails
-        async with face.served():
-            caller, asking = await asked(face)
+        work_server = WorkServer()
+        work_server.fails = fails
+        async with work_server.serve():
+            caller, asking = await send_request(work_server)
             await asyncio.sleep(0.1)
         await asking
         caller.close()
@@ -120,10 +120,10 @@
     assert event == "answer_broken_off"
     assert (fields["ended_by"], fields["reason"]) == ("server", reason)
     assert (fields["path"], fields["state"]) == ("/things/{thing}", state)
-    assert counted("server", reason) == before + 1
+    assert read_counter("server", reason) == before + 1
 
 
-def test_answers_given_whole_are_not_counted(lines):
+def test_complete_answers_are_not_counted(lines):
     async def scenario():
         address = free_address()
         request = b"GET /metrics HTTP/1.1\r\nHost: h\r\n\r\n"
