--- a/damaskcroft/platform/__init__.py
+++ b/damaskcroft/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The users' platform: its settings file and its names on the wire.
+"""Adapters for the users' platform: settings file, HTTP bodies and headers.
 
-Everything here translates between the platform's words and the product's
-types. Nothing here decides, retries or remembers.
+The modules translate between the platform's wire names and the product's
+types. They keep no state and contain no retries or policy.
 """
--- a/damaskcroft/platform/announcements.py
+++ b/damaskcroft/platform/announcements.py
@@ -1,7 +1,7 @@
-"""What the platform's targets say of themselves, decoded once.
+"""Decoders for announcements, leave messages and status reports of targets.
 
-An announcement or a status report may come from another writer: fields
-missing or of another type, words that nobody knows, bytes that can't be read.
+Messages may come from other implementations or versions: fields can be missing
+or of another type, values can be unknown, and bodies can be undecodable.
 """
 
 from collections.abc import Sequence
@@ -19,8 +19,8 @@
     "ready": fleet_pb2.TARGET_READY,
     "draining": fleet_pb2.TARGET_DRAINING,
 }
-_MAX_DETAIL = 120
-# What a field of the schema holds at most.
+_MAX_DETAIL_CHARS = 120
+# Largest value of a uint64 field of the schema.
 _MAX_UINT64 = 2**64 - 1
 
 _T = TypeVar("_T")
@@ -38,18 +38,18 @@
     version: int | None = None
 
 
-class _Holding(msgspec.Struct, kw_only=True):
+class _CommonFields(msgspec.Struct, kw_only=True):
     """Fields that an announcement and a status report share."""
 
     sequence: int
-    # Unix milliseconds; older writers don't tell it.
+    # Unix milliseconds; older senders omit it.
     born: int = 0
     models: list[_Model] | None = None
-    # Told once for all models; a target that holds nothing tells none.
+    # Sent once for all models; a target that holds no layers omits it.
     layers: _Layers | list[_Layers] | None | msgspec.UnsetType = msgspec.UNSET
 
 
-class _Announcement(_Holding, kw_only=True):
+class _Announcement(_CommonFields, kw_only=True):
     service: str
     address: str
     state: str
@@ -58,7 +58,7 @@
     cold_remaining_ms: float = 0.0
 
 
-class _Report(_Holding, kw_only=True):
+class _Report(_CommonFields, kw_only=True):
     busy: bool
     active: int
     queued: int
@@ -68,79 +68,79 @@
     born: int = 0
 
 
-_ANNOUNCEMENTS = msgspec.json.Decoder(_Announcement)
-_REPORTS = msgspec.json.Decoder(_Report)
-_LEAVES = msgspec.json.Decoder(_Leave)
+_ANNOUNCEMENT_DECODER = msgspec.json.Decoder(_Announcement)
+_REPORT_DECODER = msgspec.json.Decoder(_Report)
+_LEAVE_DECODER = msgspec.json.Decoder(_Leave)
 
 
 def decode_announcement(
     target_id: str, body: bytes
 ) -> fleet_pb2.TargetState | Unusable:
-    """Reads what a target says of itself.
+    """Decodes an announcement of a target.
 
-    Whether it makes sense is for `damaskcroft.fleet.checked` to say.
+    Only the form is checked here; `damaskcroft.fleet.checked` validates values.
     """
-    word = _decoded(body, _ANNOUNCEMENTS)
-    if isinstance(word, Unusable):
-        return word
-    phase = _PHASES_BY_STATE.get(word.state)
+    message = _decode(body, _ANNOUNCEMENT_DECODER)
+    if isinstance(message, Unusable):
+        return message
+    phase = _PHASES_BY_STATE.get(message.state)
     if phase is None:
-        return Unusable("unknown_state", word.state[:_MAX_DETAIL])
+        return Unusable("unknown_state", message.state[:_MAX_DETAIL_CHARS])
     try:
         return fleet_pb2.TargetState(
             id=target_id,
-            service=word.service,
-            address=word.address,
-            failure_domain=word.zone,
-            slots=word.slots,
+            service=message.service,
+            address=message.address,
+            failure_domain=message.zone,
+            slots=message.slots,
             phase=phase,
-            warming_ms=word.cold_remaining_ms,
-            sequence=word.sequence,
-            held=_held(word),
-            born_ms=word.born,
+            warming_ms=message.cold_remaining_ms,
+            sequence=message.sequence,
+            held=_held_layers(message),
+            born_ms=message.born,
         )
     except ValueError as error:
-        return Unusable("out_of_range", str(error)[:_MAX_DETAIL])
+        return Unusable("out_of_range", str(error)[:_MAX_DETAIL_CHARS])
 
 
 def decode_leave(
     target_id: str, body: bytes
 ) -> fleet_pb2.TargetState | Unusable:
-    """Reads which start of a target ends; older writers send no body."""
-    word = _decoded(body or b"{}", _LEAVES)
-    if isinstance(word, Unusable):
-        return word
-    if not 0 <= word.born <= _MAX_UINT64:
-        return Unusable("out_of_range", f"born {word.born}")
+    """Decodes which start of a target ends; older senders send no body."""
+    message = _decode(body or b"{}", _LEAVE_DECODER)
+    if isinstance(message, Unusable):
+        return message
+    if not 0 <= message.born <= _MAX_UINT64:
+        return Unusable("out_of_range", f"born {message.born}")
     return fleet_pb2.TargetState(
-        id=target_id, phase=fleet_pb2.TARGET_GONE, born_ms=word.born
+        id=target_id, phase=fleet_pb2.TARGET_GONE, born_ms=message.born
     )
 
 
 def decode_report(body: bytes) -> EngineReport | Unusable:
-    """Reads what a target tells the agent beside it."""
-    word = _decoded(body, _REPORTS)
-    if isinstance(word, Unusable):
-        return word
-    if min(word.sequence, word.active, word.queued, word.born) < 0:
-        return Unusable("out_of_range", "a count below zero")
+    """Decodes a status report that a target sends to its agent."""
+    message = _decode(body, _REPORT_DECODER)
+    if isinstance(message, Unusable):
+        return message
+    if min(message.sequence, message.active, message.queued, message.born) < 0:
+        return Unusable("out_of_range", "negative count")
     try:
-        held = tuple(_held(word))
+        held = tuple(_held_layers(message))
     except ValueError as error:
-        return Unusable("out_of_range", str(error)[:_MAX_DETAIL])
+        return Unusable("out_of_range", str(error)[:_MAX_DETAIL_CHARS])
     return EngineReport(
         held=held,
-        busy=word.busy,
-        sequence=word.sequence,
-        running=word.active + word.queued,
-        born_ms=word.born,
+        busy=message.busy,
+        sequence=message.sequence,
+        running=message.active + message.queued,
+        born_ms=message.born,
     )
 
 
-def _held(word: _Holding) -> list[fleet_pb2.HeldLayers]:
-    """The layers that a target says it holds, by model."""
-    models = word.models or ()
-    if word.layers is msgspec.UNSET:
+def _held_layers(message: _CommonFields) -> list[fleet_pb2.HeldLayers]:
+    """Returns the layers that a target reports as held, by model."""
+    models = message.models or ()
+    if message.layers is msgspec.UNSET:
         return [
             fleet_pb2.HeldLayers(model=model.name, version=model.version)
             for model in models
@@ -148,16 +148,18 @@
     return [
         fleet_pb2.HeldLayers(
             model=model.name,
-            version=model.version if part.version is None else part.version,
-            first_layer=part.first,
-            end_layer=part.end,
+            version=model.version
+            if layer_range.version is None
+            else layer_range.version,
+            first_layer=layer_range.first,
+            end_layer=layer_range.end,
         )
         for model in models
-        for part in _ranges(word.layers)
+        for layer_range in _layer_ranges(message.layers)
     ]
 
 
-def _ranges(
+def _layer_ranges(
     layers: _Layers | list[_Layers] | msgspec.UnsetType | None,
 ) -> Sequence[_Layers]:
     if layers is None or isinstance(layers, msgspec.UnsetType):
@@ -165,17 +167,17 @@
     return (layers,) if isinstance(layers, _Layers) else layers
 
 
-def _decoded(body: bytes, decoder: msgspec.json.Decoder[_T]) -> _T | Unusable:
+def _decode(body: bytes, decoder: msgspec.json.Decoder[_T]) -> _T | Unusable:
     try:
         return decoder.decode(body)
     except msgspec.ValidationError as error:
-        return Unusable(_reason(error), str(error)[:_MAX_DETAIL])
+        return Unusable(_reason_code(error), str(error)[:_MAX_DETAIL_CHARS])
     except (ValueError, RecursionError) as error:
-        return Unusable("unreadable", str(error)[:_MAX_DETAIL])
+        return Unusable("unreadable", str(error)[:_MAX_DETAIL_CHARS])
 
 
-def _reason(error: msgspec.ValidationError) -> str:
-    """A fixed word for what the library says in prose."""
+def _reason_code(error: msgspec.ValidationError) -> str:
+    """Maps the prose of a validation error to a reason code."""
     if "missing required field" in str(error):
         return "missing_field"
     if "out of range" in str(error) or " >= " in str(error):
--- a/damaskcroft/platform/control_face.py
+++ b/damaskcroft/platform/control_face.py
@@ -1,4 +1,4 @@
-"""The platform's calls to control: operators and announcing targets."""
+"""HTTP API of control nodes for operators and announcing targets."""
 
 import asyncio
 
@@ -15,33 +15,33 @@
 from damaskcroft.platform.messages import (
     BadMessageError,
     decode_configuration,
-    decode_weight_goal,
+    decode_desired_version,
 )
 
 __all__ = ["control_routes"]
 
 
 def control_routes(control: FleetControl) -> list[Route]:
-    """Routes that translate the platform's calls for `control`."""
-    face = _ControlFace(control)
+    """Returns the routes that translate the platform's calls for `control`."""
+    endpoints = _ControlEndpoints(control)
     return [
-        Route("/api/config/put", face.put_configuration, methods=["POST"]),
-        Route("/api/config/get", face.get_configuration, methods=["GET"]),
-        Route("/api/version-put", face.put_version, methods=["POST"]),
+        Route("/api/config/put", endpoints.put_configuration, methods=["POST"]),
+        Route("/api/config/get", endpoints.get_configuration, methods=["GET"]),
+        Route("/api/version-put", endpoints.put_version, methods=["POST"]),
         Route(
             "/api/instances/{target_id}/heartbeat",
-            face.take_announcement,
+            endpoints.receive_announcement,
             methods=["POST"],
         ),
         Route(
             "/api/instances/{target_id}/leave",
-            face.take_leave,
+            endpoints.receive_leave,
             methods=["POST"],
         ),
     ]
 
 
-class _ControlFace:
+class _ControlEndpoints:
     __slots__ = ("_control",)
 
     def __init__(self, control: FleetControl):
@@ -50,11 +50,11 @@
     async def put_configuration(self, request: Request) -> Response:
         body = await request.body()
         try:
-            # Of thousands of routes it takes as long as a heartbeat of the
-            # log may stay away; beside it a thread lets the loop go on.
+            # Decoding thousands of routes takes about as long as the log's
+            # heartbeat time-out; in a thread it does not block the event loop.
             configuration = await asyncio.to_thread(decode_configuration, body)
         except BadMessageError as error:
-            return _bad(str(error))
+            return _bad_request(str(error))
         return _response(await self._control.configure(configuration))
 
     async def get_configuration(self, _: Request) -> Response:
@@ -65,20 +65,22 @@
 
     async def put_version(self, request: Request) -> Response:
         try:
-            goal = decode_weight_goal(await request.body())
+            desired = decode_desired_version(await request.body())
         except BadMessageError as error:
-            return _bad(str(error))
-        return _response(await self._control.name_weights(goal))
+            return _bad_request(str(error))
+        return _response(await self._control.name_weights(desired))
 
-    async def take_announcement(self, request: Request) -> Response:
+    async def receive_announcement(self, request: Request) -> Response:
         target_id = request.path_params["target_id"]
-        word = decode_announcement(target_id, await request.body())
-        return _told(await self._control.announce(target_id, word))
+        announcement = decode_announcement(target_id, await request.body())
+        return _acknowledge(
+            await self._control.announce(target_id, announcement)
+        )
 
-    async def take_leave(self, request: Request) -> Response:
+    async def receive_leave(self, request: Request) -> Response:
         target_id = request.path_params["target_id"]
         start = decode_leave(target_id, await request.body())
-        return _told(await self._control.leave(target_id, start))
+        return _acknowledge(await self._control.leave(target_id, start))
 
 
 def _response(outcome: Accepted | Invalid | Unavailable) -> Response:
@@ -86,16 +88,16 @@
         case Accepted(version=version):
             return JSONResponse({"version": version})
         case Invalid(fault=fault):
-            return _bad(fault)
+            return _bad_request(fault)
         case Unavailable(reason=reason):
             return JSONResponse({"error": reason}, 503)
 
 
-def _bad(fault: str) -> Response:
+def _bad_request(fault: str) -> Response:
     return JSONResponse({"error": fault}, 400)
 
 
-def _told(taken: bool | Unusable) -> Response:
-    if isinstance(taken, Unusable):
-        return _bad(f"{taken.reason}: {taken.detail}")
-    return JSONResponse({}, 200 if taken else 503)
+def _acknowledge(outcome: bool | Unusable) -> Response:
+    if isinstance(outcome, Unusable):
+        return _bad_request(f"{outcome.reason}: {outcome.detail}")
+    return JSONResponse({}, 200 if outcome else 503)
--- a/damaskcroft/platform/engine.py
+++ b/damaskcroft/platform/engine.py
@@ -1,4 +1,4 @@
-"""The platform's model server beside an agent."""
+"""HTTP client for the platform's model server beside an agent."""
 
 import json
 from typing import Any
@@ -21,28 +21,28 @@
 __all__ = ["PlatformEngine"]
 
 _OK, _ACCEPTED, _NOT_FOUND = 200, 202, 404
-_CONNECTIONS = 4
+_MAX_CONNECTIONS = 4
 _CONNECT_TIMEOUT_S = 0.5
 _READ_TIMEOUT_S = 1.5
 
 
 class PlatformEngine(StagedEngine):
-    """See StagedEngine."""
+    """Sends orders and weights to a model server of the platform over HTTP."""
 
     __slots__ = ("_base_url", "_client", "_reachable")
 
     def __init__(self, address: str):
-        """Names the server's address; nothing is connected yet."""
+        """Takes the server's address; connects at the first call."""
         self._base_url = f"http://{address}/api"
         self._reachable = True
         self._client = make_http_client(
-            connections=_CONNECTIONS,
+            connections=_MAX_CONNECTIONS,
             connect_timeout_s=_CONNECT_TIMEOUT_S,
             read_timeout_s=_READ_TIMEOUT_S,
         )
 
     async def report(self) -> EngineReport | EngineUnreachable:
-        """See StagedEngine."""
+        """Fetches the server's status report."""
         outcome = await self._call("GET", "report")
         if outcome is None or outcome[0] != _OK:
             return EngineUnreachable()
@@ -53,15 +53,15 @@
         return report
 
     async def put_piece(self, model: str, index: int, data: bytes) -> bool:
-        """See StagedEngine."""
-        # On the wire a piece's number is called a sample size.
+        """Uploads a piece of weights to the server's staging area."""
+        # The wire's `sample_size` is the index of the piece.
         outcome = await self._call(
             "PUT", f"stage-put/{model}?sample_size={index}", data
         )
         return outcome is not None and 200 <= outcome[0] < 300
 
     async def get_piece(self, model: str, index: int) -> bytes | None:
-        """See StagedEngine."""
+        """Returns a staged piece, or None if the server does not have it."""
         outcome = await self._call(
             "GET", f"stage-get/{model}?sample_size={index}"
         )
@@ -72,9 +72,9 @@
     async def start(
         self, model: str, version: int, sequence: int, *, cut_running: bool
     ) -> OrderOutcome:
-        """See StagedEngine."""
-        order = _start_order(model, version, sequence, cut_running)
-        return await self._order(order)
+        """Orders the server to load and serve a version of a model."""
+        order = _encode_start_order(model, version, sequence, cut_running)
+        return await self._send_order(order)
 
     async def keep_only(
         self,
@@ -83,13 +83,15 @@
         *,
         cut_running: bool = False,
     ) -> OrderOutcome:
-        """See StagedEngine."""
-        order = _start_order(part.model, part.version, sequence, cut_running)
-        # On the wire the end of a range of layers is called a target.
+        """Orders the server to drop all layers outside `part`."""
+        order = _encode_start_order(
+            part.model, part.version, sequence, cut_running
+        )
+        # The wire's `target` is the exclusive end of the range of layers.
         order["from"], order["target"] = part.first_layer, part.end_layer
-        return await self._order(order)
+        return await self._send_order(order)
 
-    async def _order(self, order: dict[str, Any]) -> OrderOutcome:
+    async def _send_order(self, order: dict[str, Any]) -> OrderOutcome:
         outcome = await self._call(
             "POST", "order", json.dumps(order).encode(), "application/json"
         )
@@ -101,7 +103,7 @@
         return OrderRefused(f"{status} {body[:200].decode('latin-1')}")
 
     async def close(self) -> None:
-        """See StagedEngine."""
+        """Closes the HTTP client."""
         await self._client.aclose()
 
     async def _call(
@@ -130,7 +132,7 @@
         return response.status_code, content
 
 
-def _start_order(
+def _encode_start_order(
     model: str, version: int, sequence: int, cut_running: bool
 ) -> dict[str, Any]:
     return {
--- a/damaskcroft/platform/messages.py
+++ b/damaskcroft/platform/messages.py
@@ -1,4 +1,4 @@
-"""Bodies of the platform's calls, decoded into the product's messages."""
+"""Decoders for HTTP bodies of operators: configurations and weights."""
 
 import json
 from typing import Any
@@ -8,19 +8,19 @@
 __all__ = [
     "BadMessageError",
     "decode_configuration",
-    "decode_weight_goal",
+    "decode_desired_version",
 ]
 
 _STREAMING = "streaming"
-# May run more than once for one request of a client.
+# Kinds whose requests may run more than once.
 _IDEMPOTENT_KINDS = frozenset({"safe"})
 
 
 class BadMessageError(Exception):
-    """A body can't be read, or lacks what it must have."""
+    """A body cannot be decoded or lacks a required field."""
 
 
-def _parsed(body: bytes) -> dict[str, Any]:
+def _parse_object(body: bytes) -> dict[str, Any]:
     try:
         values = json.loads(body)
     except (ValueError, RecursionError) as error:
@@ -31,12 +31,12 @@
 
 
 def decode_configuration(body: bytes) -> fleet_pb2.Configuration:
-    """Reads a whole configuration; its source text is kept.
+    """Decodes a configuration and keeps its source text.
 
     Raises:
-        BadMessageError: it can't be read in full.
+        BadMessageError: the body cannot be decoded in full.
     """
-    values = _parsed(body)
+    values = _parse_object(body)
     try:
         configuration = fleet_pb2.Configuration(
             version=values["version"],
@@ -68,8 +68,8 @@
         shares=_shares(values),
         max_attempts=values.get("max_attempts", 1),
         public=values.get("public", False),
-        # On the wire this asks for sessions to stay together; such routes
-        # are those whose requests name a model.
+        # The wire's `sticky` asks for session affinity; it is set exactly on
+        # the routes whose requests carry a model's name.
         generative=values.get("sticky", False),
     )
 
@@ -146,13 +146,13 @@
     )
 
 
-def decode_weight_goal(body: bytes) -> fleet_pb2.WeightGoal:
-    """Reads which version of a model's weights should serve.
+def decode_desired_version(body: bytes) -> fleet_pb2.WeightGoal:
+    """Decodes the desired version of a model's weights.
 
     Raises:
-        BadMessageError: it can't be read.
+        BadMessageError: the body cannot be decoded.
     """
-    values = _parsed(body)
+    values = _parse_object(body)
     try:
         return fleet_pb2.WeightGoal(
             model=values["model"], version=values["version"]
--- a/damaskcroft/platform/origin.py
+++ b/damaskcroft/platform/origin.py
@@ -1,4 +1,4 @@
-"""The platform's origin of weights."""
+"""HTTP client for the platform's origin of weights."""
 
 import json
 
@@ -12,23 +12,23 @@
 
 __all__ = ["PlatformOrigin"]
 
-_DIGEST_HEX = 64
+_DIGEST_HEX_CHARS = 64
 
 
 class PlatformOrigin(OutsideSource):
-    """Reads manifests and pieces; see OutsideSource.
+    """Fetches manifests and pieces of weights from the platform's origin.
 
-    Paths are those of `weights_path`: MODEL/VERSION.
+    Paths have the form of `weights_path`: MODEL/VERSION.
     """
 
     async def fetch_manifest(self, path: str) -> OutsideData | OutsideFailed:
-        """See OutsideSource."""
+        """Fetches and converts the manifest of a version."""
         model, _, version = path.rpartition("/")
         outcome = await self.get(f"api/manifest/{model}?version={version}", {})
         if isinstance(outcome, OutsideFailed):
             return outcome
         try:
-            manifest = _manifest(outcome.data, model, version)
+            manifest = _decode_manifest(outcome.data, model, version)
         except (ValueError, KeyError, TypeError) as error:
             return self.failed(f"malformed: {error}", 0.0)
         return OutsideData(manifest.SerializeToString(deterministic=True))
@@ -36,9 +36,9 @@
     async def fetch_chunk(
         self, path: str, manifest: records_pb2.Manifest, index: int
     ) -> OutsideData | OutsideFailed:
-        """See OutsideSource."""
+        """Fetches one piece and checks its length."""
         model, _, version = path.rpartition("/")
-        # On the wire a piece's number is called a sample size.
+        # The wire's `sample_size` is the index of the piece.
         query = f"sample_size={index}&version={version}"
         outcome = await self.get(f"api/piece/{model}?{query}", {})
         if isinstance(outcome, OutsideFailed):
@@ -48,12 +48,14 @@
         return outcome
 
 
-def _manifest(body: bytes, model: str, version: str) -> records_pb2.Manifest:
+def _decode_manifest(
+    body: bytes, model: str, version: str
+) -> records_pb2.Manifest:
     values = json.loads(body)
     if values["model"] != model or str(values["version"]) != version:
         raise ValueError("another version")
     size_bytes = int(values["chunk_bytes"])
     digests = [bytes.fromhex(text) for text in values["digests"]]
-    if any(len(digest) * 2 != _DIGEST_HEX for digest in digests):
+    if any(len(digest) * 2 != _DIGEST_HEX_CHARS for digest in digests):
         raise ValueError("a digest of another length")
     return manifest_of_digests(model, version, size_bytes, digests)
--- a/damaskcroft/platform/ready_face.py
+++ b/damaskcroft/platform/ready_face.py
@@ -1,4 +1,4 @@
-"""The question by which the platform's balancer finds entries that serve."""
+"""Readiness endpoint that the platform's load balancer polls on entries."""
 
 from collections.abc import Callable
 
@@ -10,7 +10,7 @@
 
 
 def ready_routes(is_ready: Callable[[], bool]) -> list[Route]:
-    """Routes that tell whether an entry wants new connections."""
+    """Returns the readiness route: 200 if new connections are accepted."""
 
     async def ready(_: Request) -> Response:
         return Response(status_code=200 if is_ready() else 503)
--- a/damaskcroft/platform/settings.py
+++ b/damaskcroft/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, decoded into the product's types."""
+"""Decoder for the platform's settings file."""
 
 import os
 import pathlib
@@ -9,59 +9,59 @@
 
 __all__ = ["SettingsFileError", "load_node_settings"]
 
-_FILE_VARIABLE = "DAMASKCROFT_NODE_FILE"
+_PATH_VARIABLE = "DAMASKCROFT_NODE_FILE"
 
 
 class SettingsFileError(Exception):
-    """The settings file is missing, unreadable, or lacks a field."""
+    """The settings file is missing or unreadable, or a field is invalid."""
 
 
 class _Table:
-    """A table of the file that names the field it misses."""
+    """A table of the file; its errors state the path of the field."""
 
-    def __init__(self, values: Any, place: str):
+    def __init__(self, values: Any, path: str):
         if not isinstance(values, dict):
-            raise SettingsFileError(f"{place or 'the file'} is not a table")
+            raise SettingsFileError(f"{path or 'the file'} is not a table")
         self._values = values
-        self._place = place
+        self._path = path
 
     def text(self, name: str, default: str | None = None) -> str:
-        return str(self._checked(name, str, default))
+        return str(self._get_checked(name, str, default))
 
     def number(self, name: str, default: float | None = None) -> float:
-        return float(self._checked(name, (int, float), default))
+        return float(self._get_checked(name, (int, float), default))
 
     def flag(self, name: str, default: bool | None = None) -> bool:
-        return bool(self._checked(name, bool, default))
+        return bool(self._get_checked(name, bool, default))
 
     def items(self, name: str, default: list | None = None) -> list:
-        return list(self._checked(name, list, default))
+        return list(self._get_checked(name, list, default))
 
     def table(self, name: str) -> "_Table":
-        return _Table(self._values.get(name), f"{self._place}[{name}]")
+        return _Table(self._values.get(name), f"{self._path}[{name}]")
 
     def texts_by_name(self) -> dict[str, str]:
         return {key: str(value) for key, value in self._values.items()}
 
-    def _checked(self, name: str, kind: Any, default: Any) -> Any:
+    def _get_checked(self, name: str, kind: Any, default: Any) -> Any:
         value = self._values.get(name, default)
         if value is None:
-            raise SettingsFileError(f"{self._place}{name}: missing")
+            raise SettingsFileError(f"{self._path}{name}: missing")
         wrong_bool = isinstance(value, bool) and kind is not bool
         if wrong_bool or not isinstance(value, kind):
-            raise SettingsFileError(f"{self._place}{name}: wrong type")
+            raise SettingsFileError(f"{self._path}{name}: wrong type")
         return value
 
 
 def load_node_settings() -> NodeSettings:
-    """Reads the file that the environment names.
+    """Reads the settings file whose path an environment variable holds.
 
     Raises:
-        SettingsFileError: with one line that names the field.
+        SettingsFileError: with one line naming the variable, file or field.
     """
-    name = os.environ.get(_FILE_VARIABLE)
+    name = os.environ.get(_PATH_VARIABLE)
     if not name:
-        raise SettingsFileError(f"{_FILE_VARIABLE}: not set")
+        raise SettingsFileError(f"{_PATH_VARIABLE}: not set")
     try:
         values = tomllib.loads(pathlib.Path(name).read_text("utf-8"))
     except (OSError, ValueError) as error:
@@ -70,37 +70,37 @@
 
 
 def decode_settings(values: dict[str, Any]) -> NodeSettings:
-    """Turns the file's tables into settings.
+    """Converts the file's tables into settings.
 
     Raises:
-        SettingsFileError: with one line that names the field.
+        SettingsFileError: with one line naming the field.
     """
-    top = _Table(values, "")
-    listen = top.table("listen")
-    limits = top.table("limits")
-    ports = top.items("internal_ports")
+    root = _Table(values, "")
+    listen = root.table("listen")
+    limits = root.table("limits")
+    ports = root.items("internal_ports")
     if len(ports) != 2 or not all(isinstance(port, int) for port in ports):
         raise SettingsFileError("internal_ports: not two numbers")
-    folder = top.text("data_dir", "")
+    folder = root.text("data_dir", "")
     return NodeSettings(
-        name=top.text("node_name"),
-        ip=top.text("ip"),
-        failure_domain=top.text("zone"),
-        region_by_domain=top.table("zones").texts_by_name(),
+        name=root.text("node_name"),
+        ip=root.text("ip"),
+        failure_domain=root.text("zone"),
+        region_by_domain=root.table("zones").texts_by_name(),
         first_port=ports[0],
         last_port=ports[1],
-        seeds=tuple(str(seed) for seed in top.items("seeds")),
-        first_start=top.flag("bootstrap", False),
+        seeds=tuple(str(seed) for seed in root.items("seeds")),
+        first_start=root.flag("bootstrap", False),
         data_folder=pathlib.Path(folder) if folder else None,
         caller_address=listen.text("front", ""),
         ready_address=listen.text("ready_address", ""),
         control_address=listen.text("control", ""),
-        target_address=top.text("app", ""),
-        target_service=top.text("service", ""),
-        announce_every_s=top.number("heartbeat_ms") / 1000,
+        target_address=root.text("app", ""),
+        target_service=root.text("service", ""),
+        announce_every_s=root.number("heartbeat_ms") / 1000,
         link_mbps=limits.number("link_mbps"),
         max_files=int(limits.number("max_fds")),
-        bounds=_bounds(top.table("bounds")),
+        bounds=_bounds(root.table("bounds")),
     )
 
 
--- a/damaskcroft/platform/tests/test_announcements.py
+++ b/damaskcroft/platform/tests/test_announcements.py
@@ -1,4 +1,4 @@
-"""Announcements and reports of targets, and of whoever else writes them."""
+"""Decoding of announcements and reports, valid and malformed."""
 
 import json
 
@@ -33,26 +33,26 @@
     return json.dumps(values).encode()
 
 
-def taken(**changes):
-    """What becomes of a word with some fields changed, None to leave out."""
+def decode_changed(**changes):
+    """Decodes an announcement with changed fields; None leaves a field out."""
     values = {k: v for k, v in (WORD | changes).items() if v is not None}
     return checked(decode_announcement("i-1", encoded(values)))
 
 
-def test_an_announcement_becomes_a_target():
-    state = taken(state="draining")
+def test_announcement_is_decoded():
+    state = decode_changed(state="draining")
     assert (state.phase, state.born_ms) == (fleet_pb2.TARGET_DRAINING, BORN_MS)
     assert (state.id, state.failure_domain, state.slots) == ("i-1", "z", 16)
     held = state.held[0]
     assert (held.model, held.version, held.end_layer) == ("m", 2, 16)
 
 
-def test_an_older_writer_tells_no_start():
-    assert taken(born=None).born_ms == 0
+def test_missing_start_time_is_decoded_as_zero():
+    assert decode_changed(born=None).born_ms == 0
 
 
-def test_fields_that_nobody_knows_are_left_aside():
-    assert isinstance(taken(colour="red"), fleet_pb2.TargetState)
+def test_unknown_fields_are_ignored():
+    assert isinstance(decode_changed(colour="red"), fleet_pb2.TargetState)
 
 
 @pytest.mark.parametrize(
@@ -63,11 +63,13 @@
         ([{"from": 0, "target": 4}, {"from": 8, "target": 12}], [4, 12]),
     ],
 )
-def test_held_layers_come_in_several_shapes(layers, ends):
-    assert [part.end_layer for part in taken(layers=layers).held] == ends
+def test_held_layers_are_decoded_from_each_form(layers, ends):
+    assert [
+        part.end_layer for part in decode_changed(layers=layers).held
+    ] == ends
 
 
-def test_a_target_that_says_null_for_its_layers_holds_nothing():
+def test_null_layers_are_decoded_as_none_held():
     word = decode_announcement("i-1", encoded(WORD | {"layers": None}))
     assert not word.held
 
@@ -118,8 +120,8 @@
         ({"models": [{"name": "m"}]}, "missing_field"),
     ],
 )
-def test_a_word_of_another_writer_names_no_target(changes, reason):
-    outcome = taken(**changes)
+def test_malformed_announcement_is_rejected(changes, reason):
+    outcome = decode_changed(**changes)
     assert isinstance(outcome, Unusable)
     assert outcome.reason == reason
 
@@ -129,13 +131,13 @@
     [b"", b"{", b"\xff\xfe", b'{"service": "\xff"}', b"[" * 10**5, b"null",
      b"[]", b"5", b'{"x":' + b"[" * 10**5 + b"]" * 10**5 + b"}"],
 )  # fmt: skip
-def test_bytes_that_cannot_be_read_name_no_target(body):
+def test_undecodable_bytes_are_rejected(body):
     for decoded in (decode_announcement("i", body), decode_report(body)):
         assert isinstance(decoded, Unusable)
         assert decoded.reason in ("unreadable", "wrong_type", "missing_field")
 
 
-def test_a_leave_tells_which_start_ends():
+def test_leave_message_states_which_start_ends():
     assert decode_leave("i", encoded({"born": BORN_MS})).born_ms == BORN_MS
     for older in (b"", b"{}"):
         ended = decode_leave("i", older)
@@ -144,7 +146,7 @@
         assert isinstance(decode_leave("i", wrong), Unusable)
 
 
-def test_a_report_becomes_a_state_of_a_target():
+def test_report_is_decoded():
     report = decode_report(encoded(REPORT))
     assert report == EngineReport((), False, 2, 13, BORN_MS)
     assert decode_report(
@@ -167,7 +169,7 @@
         {"models": [{"name": "m", "version": 10**30}]},
     ],
 )
-def test_a_report_of_another_writer_is_none(changes):
+def test_malformed_report_is_rejected(changes):
     assert isinstance(decode_report(encoded(REPORT | changes)), Unusable)
 
 
--- a/damaskcroft/platform/tests/test_engine.py
+++ b/damaskcroft/platform/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""Orders as a model server of the platform gets them."""
+"""Orders as a model server of the platform receives them."""
 
 import asyncio
 
@@ -18,16 +18,16 @@
     return free_address()
 
 
-def ordered(address, order, status=202):
-    """What a server was sent, and the outcome."""
-    got = []
+def send_order(address, order, status=202):
+    """Returns the orders that a server received, and the outcome."""
+    received = []
 
-    async def take(request):
-        got.append(await request.json())
+    async def receive(request):
+        received.append(await request.json())
         return Response(status_code=status)
 
     async def scenario():
-        routes = [Route("/api/order", take, methods=["POST"])]
+        routes = [Route("/api/order", receive, methods=["POST"])]
         async with http_served(address, routes):
             engine = PlatformEngine(address)
             outcome = await order(engine)
@@ -35,15 +35,15 @@
             return outcome
 
     outcome = asyncio.run(scenario())
-    return got, outcome
+    return received, outcome
 
 
-def test_a_whole_version_is_ordered_without_a_range(address):
-    got, outcome = ordered(
+def test_order_of_a_complete_version_has_no_layer_range(address):
+    received, outcome = send_order(
         address, lambda engine: engine.start("m", 2, 5, cut_running=True)
     )
     assert outcome == OrderAccepted()
-    assert got == [
+    assert received == [
         {
             "operation": "start",
             "model": "m",
@@ -54,15 +54,15 @@
     ]
 
 
-def test_giving_up_layers_names_those_that_stay(address):
+def test_order_to_drop_layers_states_the_range_that_stays(address):
     part = fleet_pb2.HeldLayers(
         model="m", version=1, first_layer=0, end_layer=1
     )
-    got, outcome = ordered(
+    received, outcome = send_order(
         address, lambda engine: engine.keep_only(part, 5), status=409
     )
     assert isinstance(outcome, OrderRefused)
-    assert got == [
+    assert received == [
         {
             "operation": "start",
             "model": "m",
--- a/damaskcroft/platform/tests/test_large_configurations.py
+++ b/damaskcroft/platform/tests/test_large_configurations.py
@@ -1,8 +1,7 @@
-"""A control node goes on with its other work while it reads a large change.
+"""Decoding a large configuration does not block a control node's event loop.
 
-What happened: a change of 4,000 routes was decoded in one step of the event
-loop of the control node that it was put to, for longer than the time between
-two heartbeats; a node that leads the others stood still meanwhile.
+Guards against decoding 4,000 routes in one step of the event loop: it took
+longer than the heartbeat interval, and a leader was blocked meanwhile.
 """
 
 import asyncio
@@ -30,19 +29,19 @@
 ).encode()  # fmt: skip
 
 
-class TakingControl:
-    """Takes each configuration at once."""
+class AcceptingControl:
+    """Accepts each configuration at once."""
 
     def __init__(self):
-        self.taken = []
+        self.accepted = []
 
     async def configure(self, configuration):
-        self.taken.append(configuration)
+        self.accepted.append(configuration)
         return Accepted(configuration.version)
 
 
 async def put(control):
-    """The status of a large change."""
+    """Puts the large configuration; returns the status."""
     statuses = []
 
     async def receive():
@@ -61,27 +60,27 @@
     return statuses[0]
 
 
-def test_the_loop_goes_on_while_a_large_change_is_read():
-    # Against a loop that stands still for nearly all of the time it takes.
+def test_decoding_a_large_configuration_does_not_block_the_event_loop():
+    # Fails if the loop is blocked for nearly all of the time of the call.
     async def scenario():
         loop = asyncio.get_running_loop()
-        control = TakingControl()
-        looked_at = [loop.time()]
+        control = AcceptingControl()
+        sampled_at = [loop.time()]
 
-        async def look():
+        async def sample():
             while True:
                 await asyncio.sleep(0.001)
-                looked_at.append(loop.time())
+                sampled_at.append(loop.time())
 
-        looking = asyncio.create_task(look())
+        sampling = asyncio.create_task(sample())
         await asyncio.sleep(0.01)
         began_at = loop.time()
         assert await put(control) == 200
         took_s = loop.time() - began_at
         await asyncio.sleep(0.01)
-        looking.cancel()
-        assert len(control.taken[0].routes) == ROUTES
-        later = zip(looked_at, looked_at[1:], strict=False)
+        sampling.cancel()
+        assert len(control.accepted[0].routes) == ROUTES
+        later = zip(sampled_at, sampled_at[1:], strict=False)
         longest_s = max(b - a for a, b in later if b > began_at)
         assert longest_s < took_s / 2
 
--- a/damaskcroft/platform/tests/test_messages.py
+++ b/damaskcroft/platform/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Bodies on the wire, and the types that they become."""
+"""Decoding of HTTP bodies of operators, valid and malformed."""
 
 import json
 
@@ -7,7 +7,7 @@
 from damaskcroft.platform.messages import (
     BadMessageError,
     decode_configuration,
-    decode_weight_goal,
+    decode_desired_version,
 )
 
 CONFIGURATION = {
@@ -49,7 +49,7 @@
     return json.dumps(values).encode()
 
 
-def test_a_configuration_becomes_a_record_and_keeps_its_text():
+def test_configuration_is_decoded_and_keeps_its_source_text():
     body = encoded(CONFIGURATION)
     decoded = decode_configuration(body)
     assert decoded.version == 7
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("size", range(1, 40, 3))
-def test_a_configuration_cut_short_is_refused(size):
+def test_truncated_configuration_is_rejected(size):
     body = encoded(CONFIGURATION)
     with pytest.raises(BadMessageError):
         decode_configuration(body[: len(body) * size // 40])
@@ -87,12 +87,12 @@
         {"version": 1, "routes": ["r"], "services": []},
     ],
 )
-def test_a_configuration_of_another_shape_is_refused(wrong):
+def test_malformed_configuration_is_rejected(wrong):
     with pytest.raises(BadMessageError):
         decode_configuration(encoded(wrong))
 
 
 @pytest.mark.parametrize("body", [b"", b"{}", b'{"model": "m"}', b"[]"])
-def test_a_goal_without_its_fields_is_refused(body):
+def test_desired_version_without_its_fields_is_rejected(body):
     with pytest.raises(BadMessageError):
-        decode_weight_goal(body)
+        decode_desired_version(body)
--- a/damaskcroft/platform/tests/test_settings.py
+++ b/damaskcroft/platform/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, right and wrong."""
+"""Decoding of the platform's settings file, valid and invalid."""
 
 import copy
 
@@ -25,7 +25,7 @@
 }
 
 
-def test_settings_are_decoded_with_units():
+def test_settings_are_converted_to_seconds():
     settings = decode_settings(VALUES)
     assert settings.region == "r1"
     assert settings.rpc_address == "10.0.0.1:7700"
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    ("field", "value", "named"),
+    ("field", "value", "stated"),
     [
         ("node_name", None, "node_name"),
         ("ip", 5, "ip"),
@@ -49,7 +49,7 @@
         ("listen", 5, "listen"),
     ],
 )
-def test_a_wrong_field_is_named_in_one_line(field, value, named):
+def test_invalid_field_is_stated_in_one_line(field, value, stated):
     values = copy.deepcopy(VALUES)
     if value is None:
         del values[field]
@@ -57,11 +57,11 @@
         values[field] = value
     with pytest.raises(SettingsFileError) as caught:
         decode_settings(values)
-    assert named in str(caught.value)
+    assert stated in str(caught.value)
     assert "\n" not in str(caught.value)
 
 
-def test_a_missing_file_is_named(monkeypatch, tmp_path):
+def test_missing_file_is_stated(monkeypatch, tmp_path):
     monkeypatch.delenv("DAMASKCROFT_NODE_FILE", raising=False)
     with pytest.raises(SettingsFileError):
         load_node_settings()
--- a/damaskcroft/platform/tests/test_targets_over_http.py
+++ b/damaskcroft/platform/tests/test_targets_over_http.py
@@ -1,4 +1,4 @@
-"""What a control node believes after the calls of targets and others."""
+"""State of a control node after HTTP calls of targets, valid and malformed."""
 
 import asyncio
 import json
@@ -12,14 +12,14 @@
 from damaskcroft.platform.control_face import control_routes
 
 BORN_MS = 1_764_000_000_000
-WORD = {
+ANNOUNCEMENT = {
     "service": "s", "address": "10.0.0.1:80", "zone": "z", "slots": 16,
     "state": "ready", "cold_remaining_ms": 0, "sequence": 1, "models": [],
 }  # fmt: skip
 
 
-class AloneReplica:
-    """A replica that is a majority by itself."""
+class SingleReplica:
+    """A replica of a cluster of one, which is its own majority."""
 
     address = "c:1"
 
@@ -28,12 +28,12 @@
 
 
 class Node:
-    """A control node's HTTP face, without a network."""
+    """HTTP API of a control node, called without a network."""
 
     def __init__(self):
         self.state = FleetState()
         self.view = FleetView()
-        control = FleetControl(AloneReplica(), self.state, self.view, None)
+        control = FleetControl(SingleReplica(), self.state, self.view, None)
         self._app = Starlette(routes=control_routes(control))
 
     def configure(self, *services):
@@ -45,8 +45,10 @@
         self.state.apply(1, command.SerializeToString())
 
     def announce(self, target_id, **changes):
-        """Status of an announcement; a field of None is left out."""
-        values = {k: v for k, v in (WORD | changes).items() if v is not None}
+        """Posts an announcement, without fields of None; returns the status."""
+        values = {
+            k: v for k, v in (ANNOUNCEMENT | changes).items() if v is not None
+        }
         return self.post(target_id, "heartbeat", json.dumps(values).encode())
 
     def leave(self, target_id, body=b""):
@@ -71,7 +73,7 @@
         asyncio.run(self._app(scope, receive, send))
         return statuses[0]
 
-    def believed(self):
+    def list_targets(self):
         return [
             (state.id, state.address, state.slots, state.phase)
             for state in self.view.book.believed()
@@ -88,37 +90,39 @@
     return made
 
 
-def test_a_target_that_starts_again_under_its_id_is_heard_at_once(node):
+def test_restarted_target_with_same_id_is_accepted_at_once(node):
     assert node.announce("i", sequence=50, born=BORN_MS, slots=4) == 200
     assert node.announce("i", sequence=1, born=BORN_MS + 5000) == 200
-    assert node.believed() == [TARGET]
-    # What the earlier start said last comes late.
+    assert node.list_targets() == [TARGET]
+    # A delayed announcement of the earlier start does not replace the newer.
     assert node.announce("i", sequence=51, born=BORN_MS, slots=4) == 200
-    assert node.believed() == [TARGET]
+    assert node.list_targets() == [TARGET]
 
 
-@pytest.mark.parametrize("told", [True, False])
-def test_a_target_that_left_may_start_again_under_its_id(node, told):
-    """The last word tells its start, or is an older writer's."""
+@pytest.mark.parametrize("states_start", [True, False])
+def test_target_that_left_may_restart_with_same_id(node, states_start):
+    """The leave message states the start, or comes from an older sender."""
     node.announce("i", sequence=50, born=BORN_MS)
-    last = json.dumps({"born": BORN_MS}).encode() if told else b""
+    last = json.dumps({"born": BORN_MS}).encode() if states_start else b""
     assert node.leave("i", last) == 200
-    assert node.believed() == []
+    assert node.list_targets() == []
     node.announce("i", sequence=51, born=BORN_MS)
-    assert node.believed() == []
+    assert node.list_targets() == []
     node.announce("i", sequence=1, born=BORN_MS + 5000)
-    assert node.believed() == [TARGET]
+    assert node.list_targets() == [TARGET]
 
 
-@pytest.mark.parametrize("stranger_first", [True, False])
-def test_a_word_on_an_unknown_service_takes_no_address(node, stranger_first):
+@pytest.mark.parametrize("is_unknown_first", [True, False])
+def test_announcement_of_unknown_service_does_not_take_an_address(
+    node, is_unknown_first
+):
     calls = [
         lambda: node.announce("x", service="unknown", sequence=9),
         lambda: node.announce("i"),
     ]
-    for call in reversed(calls) if not stranger_first else calls:
+    for call in reversed(calls) if not is_unknown_first else calls:
         call()
-    assert node.believed() == [TARGET]
+    assert node.list_targets() == [TARGET]
 
 
 @pytest.mark.parametrize(
@@ -138,17 +142,17 @@
         {"sequence": "2"},
     ],
 )
-def test_a_word_of_another_writer_moves_no_belief(node, changes):
-    """Neither as the word of a known target nor as that of a new one."""
+def test_malformed_announcement_changes_no_state(node, changes):
+    """Holds for a known target and for a new one."""
     assert node.announce("i") == 200
     for target_id in ("i", "x"):
         assert node.announce(target_id, **({"sequence": 7} | changes)) == 400
-        assert node.believed() == [TARGET]
+        assert node.list_targets() == [TARGET]
 
 
 @pytest.mark.parametrize("body", [b"", b"\xff\xfe", b"[", b"5"])
-def test_bytes_that_cannot_be_read_move_no_belief(node, body):
+def test_undecodable_bytes_change_no_state(node, body):
     node.announce("i")
     assert node.post("i", "heartbeat", body) == 400
     assert node.post("i", "leave", body or b"\x00") == 400
-    assert node.believed() == [TARGET]
+    assert node.list_targets() == [TARGET]
--- a/damaskcroft/platform/tests/test_wire.py
+++ b/damaskcroft/platform/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Headers of callers and targets."""
+"""Decoding and encoding of headers of callers and targets."""
 
 import pytest
 
@@ -31,7 +31,7 @@
 )
 
 
-def test_a_call_is_decoded():
+def test_request_headers_are_decoded():
     call = PlatformWire().call(
         request(
             deadline_ms="6097", credential="k", model="m",
@@ -55,11 +55,11 @@
         {"last_event_id": "first"},
     ],
 )
-def test_a_header_that_makes_no_sense_is_no_call(wrong):
+def test_malformed_header_yields_no_call(wrong):
     assert PlatformWire().call(request(**wrong)) is None
 
 
-def test_the_key_stays_here_and_the_customer_is_ours_to_name():
+def test_credential_and_reserved_headers_of_callers_are_not_forwarded():
     wire = PlatformWire()
     call = wire.call(
         request(
@@ -83,7 +83,7 @@
     return PlatformWire().facts(Head(status, named))
 
 
-def test_only_the_targets_own_word_says_that_nothing_ran():
+def test_only_explicit_headers_or_421_mean_not_run():
     assert facts(503, not_executed="1").not_run
     assert facts(421).not_run
     assert facts(421).misdirected
@@ -92,21 +92,21 @@
     assert not facts(500).not_run
 
 
-def test_load_and_seal_are_decoded():
+def test_load_seal_and_version_are_decoded():
     assert facts(server_load="3, 0, 8").load == TargetLoad(3, 0, 8)
     assert facts(server_load="busy").load is None
     assert facts(response_seal="x").sealed
     assert facts(weight_versions="2").weights_version == 2
 
 
-def test_numbers_too_long_to_be_read_fail_no_request():
-    # Against a fault of ours, which would cut a stream that goes on there.
+def test_overlong_numbers_are_ignored():
+    # An exception here would break off a stream that the target goes on with.
     digits = "9" * 5000
     assert facts(server_load=f"1,2,{digits}").load is None
     assert facts(weight_versions=digits).weights_version == 0
 
 
-def test_a_limit_for_all_senders_is_read_from_each_answer():
+def test_rate_limit_is_decoded_from_each_answer():
     assert facts().limit == Unnamed()
     assert facts(server_limit="1.8").limit == Named(1.8)
     assert facts(503, not_executed="1", server_limit="0").limit == Named(0.0)
--- a/damaskcroft/platform/wire.py
+++ b/damaskcroft/platform/wire.py
@@ -1,4 +1,4 @@
-"""Headers of the platform's callers and targets."""
+"""Codec for the headers of the platform's callers and targets."""
 
 from damaskcroft.forwarding import (
     AnswerFacts,
@@ -12,8 +12,9 @@
 
 __all__ = ["PlatformWire"]
 
-# They concern one connection only (RFC 9110, 7.6.1); lengths are framed anew.
-_CONNECTION_HEADERS = frozenset(
+# Hop-by-hop headers (RFC 9110, 7.6.1), and the length, which is set again for
+# each hop.
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"content-length",
@@ -28,8 +29,8 @@
         b"upgrade",
     }
 )
-# The system sets these itself, whatever the caller sent.
-_OWN_HEADERS = frozenset(
+# Set by the entry itself; values from callers are discarded.
+_RESERVED_HEADERS = frozenset(
     {
         b"credential",
         b"deadline-ms",
@@ -41,19 +42,23 @@
         b"tenant",
     }
 )
-# Longer numbers in an answer make no sense, and Python reads none of thousands.
+# Longer numbers are implausible, and `int` raises on thousands of digits.
 _MAX_DIGITS = 18
 
 
 class PlatformWire(Wire):
-    """See Wire."""
+    """Decodes and encodes the platform's headers."""
 
     def call(self, request: CallerRequest) -> Call | None:
-        """See Wire."""
+        """Decodes a request; returns None if a header is malformed."""
         path, _, _ = request.target.decode("latin-1").partition("?")
-        dropped = _CONNECTION_HEADERS | _OWN_HEADERS | _named(request.headers)
+        dropped = (
+            _HOP_BY_HOP_HEADERS
+            | _RESERVED_HEADERS
+            | _connection_options(request.headers)
+        )
         try:
-            prompt, answer = _token_counts(request.value(b"token-counts"))
+            prompt, answer = _parse_token_counts(request.value(b"token-counts"))
             deadline = request.value(b"deadline-ms")
             last_event = request.value(b"last-event-id")
             return Call(
@@ -71,17 +76,17 @@
                 model=request.value(b"model"),
                 prompt_tokens=prompt,
                 max_answer_tokens=answer,
-                prefix_ids=_prefix_ids(request.value(b"prompt-prefix")),
+                prefix_ids=_parse_prefix_ids(request.value(b"prompt-prefix")),
             )
         except ValueError:
             return None
 
     def target_headers(self, call: Call, passing: Passing) -> Headers:
-        """See Wire."""
+        """Returns the headers of a request to a target."""
         headers = [
             *call.headers,
             (b"deadline-ms", b"%d" % max(1, passing.deadline_s * 1000)),
-            # On the wire the target's id is called an instance.
+            # The wire calls the id of a target an instance.
             (b"expect-instance", passing.target_id.encode("latin-1")),
         ]
         if passing.customer:
@@ -95,7 +100,7 @@
         return headers
 
     def facts(self, head: Head) -> AnswerFacts:
-        """See Wire."""
+        """Decodes what the head of an answer says about target and run."""
         version = head.value(b"weight-versions")
         misdirected = head.status == 421
         return AnswerFacts(
@@ -103,23 +108,23 @@
             not_run=bool(head.value(b"not-executed")) or misdirected,
             sealed=bool(head.value(b"response-seal")),
             target_id=head.value(b"instance-id"),
-            load=_load(head.value(b"server-load")),
-            weights_version=_number(version) or 0,
+            load=_parse_load(head.value(b"server-load")),
+            weights_version=_parse_integer(version) or 0,
             misdirected=misdirected,
-            rest_s=_rest_s(head),
+            rest_s=_parse_back_off_s(head),
             leaving=head.value(b"server-leaving") == "1",
             limit=limit_named(head.values(b"server-limit")),
         )
 
     def answer_headers(self, head: Head) -> Headers:
-        """See Wire."""
-        dropped = _CONNECTION_HEADERS | _named(head.headers)
+        """Returns the headers of an answer that are passed to the caller."""
+        dropped = _HOP_BY_HOP_HEADERS | _connection_options(head.headers)
         return [h for h in head.headers if h[0] not in dropped]
 
     def refusal_headers(
         self, request_id: str, retry_after_s: float | None
     ) -> Headers:
-        """See Wire."""
+        """Returns the headers of a refusal."""
         headers: Headers = []
         if request_id:
             headers.append((b"request-id", request_id.encode("latin-1")))
@@ -128,8 +133,8 @@
         return headers
 
 
-def _named(headers: Headers) -> frozenset[bytes]:
-    """Headers that a Connection header declares to concern one connection."""
+def _connection_options(headers: Headers) -> frozenset[bytes]:
+    """Returns the headers that Connection headers list as hop-by-hop."""
     values = [value for name, value in headers if name == b"connection"]
     if not values:
         return frozenset()
@@ -138,34 +143,34 @@
     )
 
 
-def _token_counts(value: str) -> tuple[int, int]:
+def _parse_token_counts(value: str) -> tuple[int, int]:
     if not value:
         return 0, 0
     prompt, _, answer = value.partition(",")
     return int(prompt), int(answer or 0)
 
 
-def _prefix_ids(value: str) -> tuple[str, ...]:
+def _parse_prefix_ids(value: str) -> tuple[str, ...]:
     parts = [part.strip() for part in value.split(",") if part.strip()]
     return tuple(part.partition(":")[0] for part in parts)
 
 
-def _rest_s(head: Head) -> float | None:
+def _parse_back_off_s(head: Head) -> float | None:
     if head.status != 503:
         return None
     return retry_after_s(head.value(b"retry-after"), head.value(b"date"))
 
 
-def _load(value: str) -> TargetLoad | None:
-    numbers = [_number(part.strip()) for part in value.split(",")]
+def _parse_load(value: str) -> TargetLoad | None:
+    numbers = [_parse_integer(part.strip()) for part in value.split(",")]
     match numbers:
         case [int(running), int(waiting), int(slots)]:
             return TargetLoad(running, waiting, slots)
     return None
 
 
-def _number(value: str) -> int | None:
-    """A whole number, or None where it is none or makes no sense."""
+def _parse_integer(value: str) -> int | None:
+    """Parses a non-negative integer; returns None if malformed or too long."""
     if not value.isdecimal() or len(value) > _MAX_DIGITS:
         return None
     return int(value)
