--- a/damaskcroft/experiments/__main__.py
+++ b/damaskcroft/experiments/__main__.py
@@ -1,4 +1,4 @@
-"""Plays policies on the same seeds and prints what callers get."""
+"""Command that simulates policies on the same seeds and prints a table."""
 
 import dataclasses
 import pathlib
@@ -8,8 +8,8 @@
 
 from damaskcroft.experiments import (
     POLICIES_BY_NAME,
-    FleetShape,
-    LoadShape,
+    FleetParameters,
+    LoadParameters,
     Row,
     mean_row,
     saturation_per_s,
@@ -23,30 +23,30 @@
 def _print(rows: list[Row]) -> None:
     names = [field.name for field in dataclasses.fields(Row)]
     typer.echo("  ".join(f"{name:>13}" for name in names))
-    for each in rows:
-        values = dataclasses.astuple(each)
+    for row in rows:
+        values = dataclasses.astuple(row)
         cells = [f"{values[0]:>13}", *(f"{v:13.2f}" for v in values[1:])]
         typer.echo("  ".join(cells))
 
 
 def _plot(rows: list[Row], path: pathlib.Path) -> None:
-    """Goodput against load, a line a policy."""
+    """Plots goodput against load, with one curve for each policy."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(6, 3.5))
-    for policy in dict.fromkeys(each.policy for each in rows):
-        of_policy = [each for each in rows if each.policy == policy]
+    for policy in dict.fromkeys(row.policy for row in rows):
+        rows_of_policy = [row for row in rows if row.policy == policy]
         axes.plot(
-            [each.load for each in of_policy],
-            [each.in_time_per_s for each in of_policy],
+            [row.load for row in rows_of_policy],
+            [row.in_time_per_s for row in rows_of_policy],
             "o-",
             label=policy,
         )
-    axes.set_xlabel("load, times what engines carry")
-    axes.set_ylabel("answers in time, a second")
+    axes.set_xlabel("load relative to saturation")
+    axes.set_ylabel("answers in time per second")
     axes.set_ylim(bottom=0)
     axes.legend()
     figure.tight_layout()
@@ -59,26 +59,30 @@
         list[str], typer.Argument(help=", ".join(POLICIES_BY_NAME))
     ],
     load: Annotated[
-        list[float], typer.Option(min=0.01, help="times what engines carry")
+        list[float], typer.Option(min=0.01, help="load relative to saturation")
     ] = _LOADS,
-    seeds: Annotated[int, typer.Option(min=1, help="plays of each")] = 3,
-    entries: Annotated[int, typer.Option(min=1)] = FleetShape().entries,
-    engines: Annotated[int, typer.Option(min=1)] = FleetShape().engines,
+    seeds: Annotated[
+        int, typer.Option(min=1, help="runs of each policy and load")
+    ] = 3,
+    entries: Annotated[int, typer.Option(min=1)] = FleetParameters().entries,
+    engines: Annotated[int, typer.Option(min=1)] = FleetParameters().engines,
     plot: Annotated[
-        pathlib.Path | None, typer.Option(help="a picture to write")
+        pathlib.Path | None, typer.Option(help="image file to write")
     ] = None,
 ) -> None:
-    """Plays policies past saturation, each on the same arrivals."""
+    """Simulates policies past saturation, each on the same arrivals."""
     unknown = [name for name in policies if name not in POLICIES_BY_NAME]
     if unknown:
         raise typer.BadParameter(f"no such policy: {', '.join(unknown)}")
-    fleet = FleetShape(entries=entries, engines=engines)
-    carried = saturation_per_s(fleet, LoadShape())
-    typer.echo(f"{engines} engines carry {carried:.0f} requests a second")
+    fleet = FleetParameters(entries=entries, engines=engines)
+    saturation = saturation_per_s(fleet, LoadParameters())
+    typer.echo(
+        f"{engines} engines are saturated at {saturation:.0f} requests a second"
+    )
     rows = [
-        mean_row(name, POLICIES_BY_NAME[name], fleet, times, seeds)
+        mean_row(name, POLICIES_BY_NAME[name], fleet, load_factor, seeds)
         for name in policies
-        for times in load
+        for load_factor in load
     ]
     _print(rows)
     if plot is not None:
--- a/damaskcroft/experiments/_engine.py
+++ b/damaskcroft/experiments/_engine.py
@@ -1,33 +1,39 @@
-"""A model of an engine that reads prompts between the tokens that it writes."""
+"""Model of an engine that interleaves prefill with decoding."""
 
 import asyncio
 import collections
 from collections.abc import Iterable
 
-from damaskcroft.experiments._shapes import EngineShape
+from damaskcroft.experiments._parameters import EngineParameters
 
 __all__ = ["EngineFullError", "EngineRun", "ModelEngine"]
 
 
 class EngineFullError(Exception):
-    """An engine takes no more requests now."""
+    """The slots and the queue of an engine are full."""
 
 
 class EngineRun:
     """A request at an engine.
 
     Attributes:
-        first: done when its first event is written.
-        ended: done when its last one is.
-        work_s: the engine's time that was spent on it alone.
+        first: done when the first event has been written.
+        ended: done when the last event has been written.
+        work_s: engine time attributed to this request.
     """
 
-    __slots__ = ("ended", "events_left", "first", "unread_tokens", "work_s")
+    __slots__ = (
+        "ended",
+        "events_left",
+        "first",
+        "pending_prompt_tokens",
+        "work_s",
+    )
 
     def __init__(self, prompt_tokens: int, events: int):
-        """Nothing of it is read."""
+        """Starts with the whole prompt unread."""
         loop = asyncio.get_running_loop()
-        self.unread_tokens = prompt_tokens
+        self.pending_prompt_tokens = prompt_tokens
         self.events_left = events
         self.first: asyncio.Future[None] = loop.create_future()
         self.ended: asyncio.Future[None] = loop.create_future()
@@ -38,73 +44,79 @@
     """One engine; `run` works until cancelled.
 
     Args:
-        shape: how fast it works.
+        parameters: capacity and speed of the engine.
     """
 
-    __slots__ = ("_arrived", "_running", "_shape", "_waiting")
+    __slots__ = ("_arrival_event", "_parameters", "_running", "_waiting")
 
-    def __init__(self, shape: EngineShape):
-        """See the class."""
-        self._shape = shape
+    def __init__(self, parameters: EngineParameters):
+        """Starts without requests; the class describes the argument."""
+        self._parameters = parameters
         self._waiting: collections.deque[EngineRun] = collections.deque()
         self._running: list[EngineRun] = []
-        self._arrived = asyncio.Event()
+        self._arrival_event = asyncio.Event()
 
     @property
     def load(self) -> int:
-        """Requests that it has."""
+        """Number of requests that are queued or running."""
         return len(self._waiting) + len(self._running)
 
-    def begin(self, prompt_tokens: int, events: int) -> EngineRun:
-        """Takes a request.
+    def start_request(self, prompt_tokens: int, events: int) -> EngineRun:
+        """Queues a request.
 
         Raises:
-            EngineFullError: it has too many.
+            EngineFullError: slots and queue are full.
         """
-        if self.load >= self._shape.slots + self._shape.queued:
+        if self.load >= self._parameters.slots + self._parameters.queued:
             raise EngineFullError
         run = EngineRun(prompt_tokens, events)
         self._waiting.append(run)
-        self._arrived.set()
+        self._arrival_event.set()
         return run
 
     async def run(self) -> None:
-        """Makes one pass after another."""
+        """Runs passes until cancelled; waits while there are no requests."""
         while True:
             if not self.load:
-                self._arrived.clear()
-                await self._arrived.wait()
-            while self._waiting and len(self._running) < self._shape.slots:
+                self._arrival_event.clear()
+                await self._arrival_event.wait()
+            while self._waiting and len(self._running) < self._parameters.slots:
                 self._running.append(self._waiting.popleft())
-            await self._pass()
-
-    async def _pass(self) -> None:
-        writing = [run for run in self._running if not run.unread_tokens]
-        reading = [run for run in self._running if run.unread_tokens]
-        steps = self._shape.tokens_per_event if writing else 1
-        takes_s = self._read(reading, steps * self._shape.read_tokens_per_step)
-        if writing:
-            writes_s = self._shape.writing_s(len(writing))
-            takes_s += writes_s
-            for run in writing:
-                run.work_s += writes_s / len(writing)
-        await asyncio.sleep(takes_s)
-        self._write(writing)
-
-    def _read(self, reading: Iterable[EngineRun], most_tokens: int) -> float:
-        """Reads on, first come first; returns the seconds that it takes."""
-        whole_s = 0.0
-        for run in reading:
-            tokens = min(run.unread_tokens, most_tokens)
-            most_tokens -= tokens
-            run.unread_tokens -= tokens
-            reads_s = tokens / self._shape.read_tokens_s
-            run.work_s += reads_s
-            whole_s += reads_s
-        return whole_s
-
-    def _write(self, writing: Iterable[EngineRun]) -> None:
-        for run in writing:
+            await self._run_pass()
+
+    async def _run_pass(self) -> None:
+        decoding = [
+            run for run in self._running if not run.pending_prompt_tokens
+        ]
+        prefilling = [run for run in self._running if run.pending_prompt_tokens]
+        steps = self._parameters.tokens_per_event if decoding else 1
+        pass_s = self._prefill(
+            prefilling, steps * self._parameters.max_prefill_tokens_per_step
+        )
+        if decoding:
+            decode_s = self._parameters.decode_time_s(len(decoding))
+            pass_s += decode_s
+            for run in decoding:
+                run.work_s += decode_s / len(decoding)
+        await asyncio.sleep(pass_s)
+        self._write_events(decoding)
+
+    def _prefill(
+        self, prefilling: Iterable[EngineRun], token_budget: int
+    ) -> float:
+        """Prefills in order of arrival; returns the time taken in seconds."""
+        total_s = 0.0
+        for run in prefilling:
+            tokens = min(run.pending_prompt_tokens, token_budget)
+            token_budget -= tokens
+            run.pending_prompt_tokens -= tokens
+            prefill_s = tokens / self._parameters.prefill_tokens_per_s
+            run.work_s += prefill_s
+            total_s += prefill_s
+        return total_s
+
+    def _write_events(self, decoding: Iterable[EngineRun]) -> None:
+        for run in decoding:
             run.events_left -= 1
             if not run.first.done():
                 run.first.set_result(None)
--- a/damaskcroft/experiments/_entry.py
+++ b/damaskcroft/experiments/_entry.py
@@ -1,13 +1,13 @@
-"""An entry's own queue and placing, before models of engines."""
+"""An entry's own queue and placer, connected to models of engines."""
 
 import asyncio
 import random
 
 from damaskcroft.clock import now_s
 from damaskcroft.experiments._engine import EngineFullError, ModelEngine
-from damaskcroft.experiments._figures import Outcome
+from damaskcroft.experiments._parameters import FleetParameters
 from damaskcroft.experiments._policies import Policy
-from damaskcroft.experiments._shapes import FleetShape
+from damaskcroft.experiments._results import Outcome
 from damaskcroft.routing import (
     Candidate,
     Overloaded,
@@ -17,29 +17,29 @@
     SlotTaken,
 )
 
-__all__ = ["Answer", "ModelEntry", "ticket_of"]
+__all__ = ["Answer", "ModelEntry", "make_ticket"]
 
 _SERVICE = "s"
-# Entries and engines stand in so many failure domains, one after another.
+# Entries and engines are assigned to the failure domains round robin.
 _DOMAINS = 3
-# As the entry's own loop does.
-_LOOK_EVERY_S = 0.1
+# The interval of the loop of an actual entry.
+_QUEUE_CHECK_INTERVAL_S = 0.1
 
 
 class Answer:
-    """What a try got.
+    """Result of one attempt.
 
     Attributes:
         outcome: in time, late or refused.
-        first_s: from sending to the first event, or to the refusal.
-        returns_s: when a refused caller is to come back.
-        work_s: the engines' time that was spent on it.
+        first_s: time from sending to the first event, or to the refusal.
+        returns_s: the Retry-After of a refusal.
+        work_s: engine time that the attempt took.
     """
 
     __slots__ = ("first_s", "outcome", "returns_s", "work_s")
 
     def __init__(self, outcome: Outcome, first_s: float):
-        """An answer that has cost nothing yet."""
+        """Starts without Retry-After and engine time."""
         self.outcome = outcome
         self.first_s = first_s
         self.returns_s = 0.0
@@ -50,75 +50,75 @@
     """One entry.
 
     Args:
-        number: which.
-        fleet: its sizes.
-        engines_by_id: all of them.
-        policy: how it decides.
-        rng: its own choices.
+        number: index of the entry, which also selects its failure domain.
+        fleet: sizes of the fleet.
+        engines_by_id: all engines.
+        policy: how the entry queues and places requests.
+        rng: random numbers of this entry alone.
     """
 
     def __init__(
         self,
         number: int,
-        fleet: FleetShape,
+        fleet: FleetParameters,
         engines_by_id: dict[str, ModelEngine],
         policy: Policy,
         rng: random.Random,
     ):
-        """See the class."""
+        """Builds queue and placer; the class describes the arguments."""
         self._fleet = fleet
         self._engines_by_id = engines_by_id
         self._policy = policy
         self._rng = rng
-        self._placer = policy.placer(_domain(number), rng)
+        self._placer = policy.placer(_failure_domain(number), rng)
         self._placer.entries = fleet.entries
-        self._queue = policy.queue(self._choose, self._take)
+        self._queue = policy.queue(self._choose, self._take_slot)
         self._candidates = [
             Candidate(
                 engine_id,
                 engine_id,
-                _domain(place),
-                _domain(place),
+                _failure_domain(index),
+                _failure_domain(index),
                 fleet.engine.slots,
-                fleet.engine.read_tokens_s,
+                fleet.engine.prefill_tokens_per_s,
             )
-            for place, engine_id in enumerate(engines_by_id)
+            for index, engine_id in enumerate(engines_by_id)
         ]
 
     async def run(self) -> None:
-        """Looks at who waits in the queue."""
+        """Serves the queue periodically, until cancelled."""
         while True:
-            await asyncio.sleep(_LOOK_EVERY_S)
+            await asyncio.sleep(_QUEUE_CHECK_INTERVAL_S)
             self._queue.serve()
 
-    async def ask(self, ticket: QueueTicket, events: int) -> Answer:
-        """Answers one try, after its last event."""
-        taken = await self._queue.take_slot(ticket)
-        if isinstance(taken, Overloaded):
-            return self._refused(ticket, taken.foreseen_s)
+    async def submit(self, ticket: QueueTicket, events: int) -> Answer:
+        """Runs one attempt; returns after its last event or its refusal."""
+        granted = await self._queue.take_slot(ticket)
+        if isinstance(granted, Overloaded):
+            return self._make_refusal(ticket, granted.foreseen_s)
         try:
-            return await self._run(ticket, events, taken)
+            return await self._run_at_engine(ticket, events, granted)
         except EngineFullError:
-            return self._refused(ticket, 0.0)
+            return self._make_refusal(ticket, 0.0)
         finally:
-            taken.slot.give_back()
+            granted.slot.give_back()
             self._queue.serve()
 
-    async def _run(
-        self, ticket: QueueTicket, events: int, taken: SlotTaken
+    async def _run_at_engine(
+        self, ticket: QueueTicket, events: int, granted: SlotTaken
     ) -> Answer:
-        engine = self._engines_by_id[taken.candidate.id]
+        engine = self._engines_by_id[granted.candidate.id]
         sent_at = now_s()
         await asyncio.sleep(self._fleet.delay_s)
-        run = engine.begin(ticket.prompt_tokens, events)
+        run = engine.start_request(ticket.prompt_tokens, events)
         await run.first
         load = engine.load
         await asyncio.sleep(self._fleet.delay_s)
-        took_s = now_s() - sent_at
-        self._queue.first_answered(ticket.service, took_s)
-        self._placer.first_answered(took_s, ticket.goal_s)
-        self._placer.told(taken.candidate.id, load)
-        if taken.slot.read():
+        first_event_s = now_s() - sent_at
+        self._queue.first_answered(ticket.service, first_event_s)
+        self._placer.first_answered(first_event_s, ticket.goal_s)
+        self._placer.told(granted.candidate.id, load)
+        if granted.slot.read():
             self._queue.serve()
         first_s = now_s() - ticket.arrived_at
         is_late = first_s > ticket.goal_s
@@ -127,7 +127,7 @@
         answer.work_s = run.work_s
         return answer
 
-    def _refused(self, ticket: QueueTicket, foreseen_s: float) -> Answer:
+    def _make_refusal(self, ticket: QueueTicket, foreseen_s: float) -> Answer:
         answer = Answer(Outcome.REFUSED, now_s() - ticket.arrived_at)
         answer.returns_s = self._policy.return_after_s(foreseen_s, self._rng)
         return answer
@@ -135,18 +135,18 @@
     def _choose(self, ticket: QueueTicket) -> Placement | None:
         return self._placer.choose(self._candidates, (), ticket.prompt_tokens)
 
-    def _take(self, candidate: Candidate, ticket: QueueTicket) -> Slot:
+    def _take_slot(self, candidate: Candidate, ticket: QueueTicket) -> Slot:
         return self._placer.take(candidate, ticket.prompt_tokens)
 
 
-def _domain(number: int) -> str:
+def _failure_domain(number: int) -> str:
     return f"d{number % _DOMAINS}"
 
 
-def ticket_of(
+def make_ticket(
     priority: int, goal_s: float, deadline_s: float, prompt_tokens: int
 ) -> QueueTicket:
-    """A request that arrives now."""
+    """Returns the ticket of a request that arrives now."""
     now = now_s()
     return QueueTicket(
         service=_SERVICE,
--- a/damaskcroft/experiments/_policies.py
+++ b/damaskcroft/experiments/_policies.py
@@ -1,4 +1,7 @@
-"""Ways in which an entry may queue and place, to be compared."""
+"""Queueing and placement policies to be compared.
+
+Each class has the name by which the command line selects the policy.
+"""
 
 import abc
 import random
@@ -23,60 +26,60 @@
 
 
 class Policy(abc.ABC):
-    """What one entry decides with; each entry has its own parts."""
+    """Factory of the placer and the queue of an entry."""
 
     @abc.abstractmethod
     def placer(self, domain: str, rng: random.Random) -> Placer:
-        """Chooses engines for an entry in a failure domain."""
+        """Returns a placer for an entry in a failure domain."""
 
     @abc.abstractmethod
     def queue(self, choose: Choose, take: Take) -> RequestQueue:
-        """Holds requests while engines are full."""
+        """Returns a queue for requests that wait while engines are full."""
 
     def return_after_s(self, foreseen_s: float, rng: random.Random) -> float:
-        """When a refused caller is told to come back."""
+        """Returns the Retry-After of a refused caller."""
         return return_after_s(foreseen_s, rng)
 
 
 class Standing(Policy):
-    """What entries do."""
+    """The policy of actual entries."""
 
     def placer(self, domain: str, rng: random.Random) -> Placer:
-        """See Policy."""
+        """Returns a placer with its defaults."""
         return Placer(domain, domain, Outliers(), rng)
 
     def queue(self, choose: Choose, take: Take) -> RequestQueue:
-        """See Policy."""
+        """Returns a queue with its defaults."""
         return RequestQueue(choose, take)
 
 
-class _Unbounded(UnreadBound):
-    """Lets engines have as much unread as they may."""
+class _NoAdaptiveBound(UnreadBound):
+    """Leaves the bound on unread prompts at its maximum."""
 
     def note(self, took_s: float, goal_s: float) -> None:
-        """See UnreadBound."""
+        """Ignores measured times, so that the bound does not follow them."""
 
 
 class Unbounded(Standing):
-    """Without a bound that follows first events."""
+    """Places without a bound that follows the time to first events."""
 
     def placer(self, domain: str, rng: random.Random) -> Placer:
-        """See Policy."""
+        """Returns a placer whose bound on unread prompts does not adapt."""
         return Placer(
-            domain, domain, Outliers(), rng, unread_bound=_Unbounded()
+            domain, domain, Outliers(), rng, unread_bound=_NoAdaptiveBound()
         )
 
 
 class Patient(Standing):
-    """Those who can't be in time wait on, as long as others do."""
+    """Keeps requests that will be late queued for as long as other requests."""
 
     def queue(self, choose: Choose, take: Take) -> RequestQueue:
-        """See Policy."""
+        """Returns a queue that does not refuse late requests."""
         return RequestQueue(choose, take, refuses_late=False)
 
 
 class Plain(Unbounded, Patient):
-    """Neither."""
+    """Has neither the adaptive bound nor the refusal of late requests."""
 
 
 POLICIES_BY_NAME: dict[str, Policy] = {
--- a/damaskcroft/experiments/_rows.py
+++ b/damaskcroft/experiments/_rows.py
@@ -1,41 +1,41 @@
-"""Figures of a policy under a load that rises past saturation and falls."""
+"""Results of a policy under a load that rises past saturation and falls."""
 
 import dataclasses
 import statistics
 from collections.abc import Sequence
 
-from damaskcroft.experiments._figures import Figures, Outcome
-from damaskcroft.experiments._play import play
+from damaskcroft.experiments._parameters import FleetParameters, LoadParameters
 from damaskcroft.experiments._policies import Policy
-from damaskcroft.experiments._shapes import FleetShape, LoadShape
+from damaskcroft.experiments._results import Outcome, Results
+from damaskcroft.experiments._simulation import simulate
 
-__all__ = ["Row", "mean_row", "profile"]
+__all__ = ["Row", "load_profile", "mean_row"]
 
-# A light load first, then the one in question, then a light one again.
-_LIGHT = 0.55
-_RISES_AT_S, _FULL_AT_S, _FALLS_AT_S, _ENDS_S = 4.0, 8.0, 20.0, 26.0
-# What is counted: the load in question once it has lasted, and callers that
-# come some goals after it has ended.
-_COUNTED_S = (10.0, 20.0)
-_AFTER_S = (21.5, 26.0)
+# The load is light at first, rises to the one under test, and is light again.
+_LIGHT_LOAD = 0.55
+_RISES_AT_S, _FULL_AT_S, _FALLS_AT_S, _ENDS_AT_S = 4.0, 8.0, 20.0, 26.0
+# Evaluated intervals of arrival: the load under test once it is steady,
+# and the recovery from a few latency objectives after the load has fallen.
+_MEASURED_S = (10.0, 20.0)
+_RECOVERY_S = (21.5, 26.0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """Means over all seeds of a policy and a load.
+    """Means over all seeds of a policy and a load; printed by field name.
 
     Attributes:
-        policy: its name.
-        load: times what engines carry.
-        asked_per_s: first tries.
-        in_time_per_s: answers in time.
-        in_time: share of all tries.
-        late: likewise.
-        refused: likewise.
-        tries: of a caller.
+        policy: name of the policy.
+        load: load relative to saturation.
+        asked_per_s: first attempts per second.
+        in_time_per_s: answers in time per second.
+        in_time: share of all attempts that were answered in time.
+        late: share of all attempts that were answered late.
+        refused: share of all attempts that were refused.
+        tries: attempts of a caller.
         late_work: share of the engines' work that was spent on late answers.
-        least_entry: the smallest share in time of an entry's callers.
-        least_kind: and of a kind of request.
+        least_entry: smallest share in time among entries.
+        least_kind: smallest share in time among kinds of requests.
         after: share in time once the load has fallen.
     """
 
@@ -53,49 +53,59 @@
     after: float
 
 
-def profile(times: float) -> LoadShape:
-    """A load that rises to so many times what engines carry, and falls."""
-    half_way = (_LIGHT + times) / 2
-    return LoadShape(
+def load_profile(load_factor: float) -> LoadParameters:
+    """Returns a load that rises to `load_factor`, and falls.
+
+    The factor is relative to the saturation rate of the engines.
+    """
+    intermediate = (_LIGHT_LOAD + load_factor) / 2
+    return LoadParameters(
         steps=(
-            (0.0, _LIGHT),
-            (_RISES_AT_S, half_way),
-            (_FULL_AT_S, times),
-            (_FALLS_AT_S, _LIGHT),
+            (0.0, _LIGHT_LOAD),
+            (_RISES_AT_S, intermediate),
+            (_FULL_AT_S, load_factor),
+            (_FALLS_AT_S, _LIGHT_LOAD),
         ),
-        ends_s=_ENDS_S,
+        ends_s=_ENDS_AT_S,
     )
 
 
 def mean_row(
-    name: str, policy: Policy, fleet: FleetShape, times: float, seeds: int
+    name: str,
+    policy: Policy,
+    fleet: FleetParameters,
+    load_factor: float,
+    seeds: int,
 ) -> Row:
-    """Plays a policy under a load on some seeds."""
-    load = profile(times)
-    found = [
-        _measured(play(policy, fleet, load, seed), fleet, load)
+    """Simulates a policy under a load; returns means over the seeds."""
+    load = load_profile(load_factor)
+    results_by_seed = [
+        _measure(simulate(policy, fleet, load, seed), fleet, load)
         for seed in range(1, seeds + 1)
     ]
-    means = [statistics.fmean(values) for values in zip(*found, strict=True)]
-    return Row(name, times, *means)
+    means = [
+        statistics.fmean(values)
+        for values in zip(*results_by_seed, strict=True)
+    ]
+    return Row(name, load_factor, *means)
 
 
-def _measured(
-    figures: Figures, fleet: FleetShape, load: LoadShape
+def _measure(
+    results: Results, fleet: FleetParameters, load: LoadParameters
 ) -> Sequence[float]:
-    counted = figures.between(*_COUNTED_S)
-    counted_s = _COUNTED_S[1] - _COUNTED_S[0]
-    entries = (counted.of_entry(n) for n in range(fleet.entries))
-    kinds = (counted.of_kind(kind.name) for kind in load.kinds)
+    measured = results.sent_between(*_MEASURED_S)
+    measured_s = _MEASURED_S[1] - _MEASURED_S[0]
+    entries = (measured.filter_by_entry(n) for n in range(fleet.entries))
+    kinds = (measured.filter_by_kind(kind.name) for kind in load.kinds)
     return (
-        sum(not tried.is_return for tried in counted.tries) / counted_s,
-        counted.count(Outcome.IN_TIME) / counted_s,
-        counted.share(Outcome.IN_TIME),
-        counted.share(Outcome.LATE),
-        counted.share(Outcome.REFUSED),
-        counted.tries_per_caller,
-        counted.late_work_share,
+        sum(not attempt.is_retry for attempt in measured.attempts) / measured_s,
+        measured.count(Outcome.IN_TIME) / measured_s,
+        measured.share(Outcome.IN_TIME),
+        measured.share(Outcome.LATE),
+        measured.share(Outcome.REFUSED),
+        measured.attempts_per_caller,
+        measured.late_work_share,
         min(entry.share(Outcome.IN_TIME) for entry in entries),
         min(kind.share(Outcome.IN_TIME) for kind in kinds),
-        figures.between(*_AFTER_S).share(Outcome.IN_TIME),
+        results.sent_between(*_RECOVERY_S).share(Outcome.IN_TIME),
     )
