--- a/tools/bench.py
+++ b/tools/bench.py
@@ -1,6 +1,7 @@
-"""Measures the system; one JSON object a line goes to build/bench.jsonl.
+"""Runs the benchmarks and appends their results to build/bench.jsonl.
 
-Each section can be run alone: `tools/bench.py burst`, for instance.
+The file has one JSON object per line. Sections can be run alone, for instance
+with `tools/bench.py burst`.
 """
 
 import argparse
@@ -29,7 +30,7 @@
 
 
 def main() -> None:
-    """Runs the sections asked for, or all."""
+    """Runs the requested sections, or all of them."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("sections", nargs="*", choices=[[], *_SECTIONS])
     arguments = parser.parse_args()
@@ -38,8 +39,8 @@
         for name in arguments.sections or list(_SECTIONS):
             started_at = time.monotonic()
             with tempfile.TemporaryDirectory("-damaskcroft") as folder:
-                found = _SECTIONS[name](pathlib.Path(folder))
-            for measurement in found:
+                measurements = _SECTIONS[name](pathlib.Path(folder))
+            for measurement in measurements:
                 line = json.dumps(measurement.as_json())
                 output.write(line + "\n")
                 print(line, flush=True)
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,4 +1,4 @@
-"""The demo: a model reaches a whole fleet while callers are answered."""
+"""Demo: rolls versions of a model out to a fleet that is under load."""
 
 import argparse
 import asyncio
@@ -35,8 +35,8 @@
 _BUILD = pathlib.Path(__file__).resolve().parent.parent / "build"
 
 
-def kayal_targets() -> list[TargetPlan]:
-    """Kayal's fleet: six drafting, three crew-alert, one billing."""
+def make_target_plans() -> list[TargetPlan]:
+    """Returns the demo fleet: six drafting, three crew-alert, one billing."""
     targets = [
         TargetPlan(
             f"drafting-{number}",
@@ -57,7 +57,7 @@
 
 
 def deployment(version: ModelVersion) -> dict:
-    """The operator's record for one version."""
+    """Returns the deployment record for one version."""
     return {
         "schema_version": 2,
         "kind": "deployment",
@@ -72,7 +72,7 @@
 
 
 def apply(fleet: Fleet, version: ModelVersion) -> None:
-    """Writes a version's record with damaskctl."""
+    """Applies a version's deployment record with damaskctl."""
     path = fleet.folder / f"record-{version.version}.json"
     path.write_text(json.dumps(deployment(version)), encoding="utf-8")
     done = fleet.ctl("apply", str(path))
@@ -99,8 +99,8 @@
     }
 
 
-def judge(fleet: Fleet, counts: LoadCounts) -> dict[str, Any]:
-    """Compares the targets' journals with the callers' counts."""
+def check_requests(fleet: Fleet, counts: LoadCounts) -> dict[str, Any]:
+    """Checks the callers' counts against the targets' journals."""
     runs_by_key: collections.Counter[str] = collections.Counter()
     for target in fleet.plan.targets:
         for event in read_journal(fleet.journal_path(target.name)):
@@ -124,7 +124,7 @@
 async def run_under_load(
     fleet: Fleet, versions: list[ModelVersion]
 ) -> tuple[list[dict], LoadCounts]:
-    """Rolls all versions out one after the other under one load."""
+    """Rolls out the first version, and then the others in turn under load."""
     plan = LoadPlan(
         model=_MODEL,
         weights_by_version={v.version: v.weights_digest for v in versions},
@@ -146,7 +146,7 @@
 def make_versions(
     fleet: Fleet, size_mib: int, model: pathlib.Path | None
 ) -> list[ModelVersion]:
-    """Two versions: of seeded numbers, or both of the operator's folder."""
+    """Returns two versions, of seeded numbers or of the folder `model`."""
     versions = []
     for name in ("1", "2"):
         if model is not None:
@@ -171,14 +171,14 @@
 
 
 def main() -> None:
-    """Runs the demo; exit status 1 when any promise is broken."""
+    """Runs the demo; exits with status 1 if any request was handled wrongly."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--size-mib", type=int, default=64)
     parser.add_argument("--model", type=pathlib.Path)
     parser.add_argument("--folder", type=pathlib.Path)
     arguments = parser.parse_args()
     folder = arguments.folder or pathlib.Path(tempfile.mkdtemp("-damaskcroft"))
-    plan = FleetPlan(kayal_targets(), store_requests_s=20.0)
+    plan = FleetPlan(make_target_plans(), store_requests_s=20.0)
     started_at = time.monotonic()
     with running_fleet(folder, plan) as fleet:
         print(f"fleet ready after {time.monotonic() - started_at:.1f} s")
@@ -187,12 +187,12 @@
         print(fleet.ctl("status").stdout)
     result: dict[str, Any] = {
         "rollouts": rollouts,
-        "requests": judge(fleet, counts),
+        "requests": check_requests(fleet, counts),
     }
     _BUILD.mkdir(exist_ok=True)
     (_BUILD / "demo.json").write_text(json.dumps(result, indent=2))
     requests = result["requests"]
-    broken = (
+    failures = (
         requests["given_up"]
         + requests["duplicated"]
         + requests["answered_but_never_run"]
@@ -201,11 +201,14 @@
     )
     for answer in counts.wrong_answers[:3]:
         print(f"wrong: {answer}", file=sys.stderr)
-    if not arguments.folder and not broken:
+    if not arguments.folder and not failures:
         shutil.rmtree(folder)
     print(json.dumps(result))
-    if broken:
-        print(f"promises broken; logs are in {folder}", file=sys.stderr)
+    if failures:
+        print(
+            f"requests lost, duplicated or wrong; logs are in {folder}",
+            file=sys.stderr,
+        )
         raise SystemExit(1)
 
 
--- a/tools/generate.py
+++ b/tools/generate.py
@@ -1,4 +1,4 @@
-"""Generates the Python modules of the schema, or checks they are current."""
+"""Generates Python modules from the schema, or checks that they are current."""
 
 import importlib.resources
 import os
@@ -17,9 +17,9 @@
     """Writes every generated module below `folder`.
 
     Raises:
-        SystemExit: the schema has an error; the compiler has printed it.
+        SystemExit: the schema has an error, which the compiler has printed.
     """
-    # The compiler finds grpclib's plugin beside this interpreter.
+    # grpclib's plugin is installed in the folder of this interpreter.
     os.environ["PATH"] = os.pathsep.join(
         [str(pathlib.Path(sys.executable).parent), os.environ["PATH"]]
     )
@@ -39,7 +39,7 @@
 
 
 def _stale_names(fresh: pathlib.Path) -> list[str]:
-    """Names of generated modules that differ from the committed ones."""
+    """Returns the generated modules that differ from the committed ones."""
     stale = []
     for path in sorted((fresh / "damaskcroft" / "_generated").iterdir()):
         committed = _OUTPUT / path.name
@@ -52,7 +52,7 @@
 
 
 def main() -> None:
-    """Renews the committed modules; with --check only compares them."""
+    """Regenerates the committed modules; with --check, only compares them."""
     if "--check" not in sys.argv:
         generate(_ROOT)
         return
@@ -61,7 +61,9 @@
         generate(fresh)
         stale = _stale_names(fresh)
     if stale:
-        raise SystemExit(f"out of date, run make proto: {', '.join(stale)}")
+        raise SystemExit(
+            f"generated modules out of date, run make proto: {', '.join(stale)}"
+        )
 
 
 if __name__ == "__main__":
--- a/tools/plots.py
+++ b/tools/plots.py
@@ -1,4 +1,4 @@
-"""Draws docs/burst.png from what `make bench` has measured."""
+"""Plots docs/burst.png from the results of `make bench`."""
 
 import json
 import pathlib
@@ -11,13 +11,13 @@
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
 
 
-def _faultless(name: str) -> list[dict]:
-    """Measurements of a name whose runs had no faults, newest last."""
+def _select_faultless(name: str) -> list[dict]:
+    """Returns the measurements of a metric without faults, newest last."""
     lines = (_ROOT / "build" / "bench.jsonl").read_text().splitlines()
-    found = [json.loads(line) for line in lines]
+    measurements = [json.loads(line) for line in lines]
     return [
         m
-        for m in found
+        for m in measurements
         if m["name"] == name
         and not m["conditions"]["kill_share"]
         and not m["conditions"]["corrupt_every"]
@@ -26,10 +26,10 @@
 
 
 def main() -> None:
-    """Time by number of agents, and origin copies by strategy."""
+    """Plots time by number of agents, and origin copies by strategy."""
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(9, 3.5))
     times_by_strategy: dict[str, dict[int, float]] = {}
-    for m in _faultless("burst.time_ratio"):
+    for m in _select_faultless("burst.time_ratio"):
         times = times_by_strategy.setdefault(m["conditions"]["strategy"], {})
         times[m["conditions"]["agents"]] = m["value"]
     for strategy, times in sorted(times_by_strategy.items()):
@@ -42,7 +42,7 @@
     left.legend()
     copies_by_strategy = {
         m["conditions"]["strategy"]: m["value"]
-        for m in _faultless("burst.origin_copies")
+        for m in _select_faultless("burst.origin_copies")
         if m["conditions"]["agents"] == 10
     }
     names = sorted(copies_by_strategy)
