--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Every target sets up its own virtual environment from pinned packages.
+# All targets use a virtual environment that is set up from pinned packages.
 VENV := .venv
 PY := $(VENV)/bin/python
 STAMP := $(VENV)/.ready
@@ -39,18 +39,18 @@
 bench: $(STAMP)
 	$(PY) tools/bench.py
 
-# Real processes under random faults; SEED replays one.
+# Runs actual processes under random faults; SEED replays a run.
 soak: $(STAMP)
 	$(PY) -m damaskcroft.hosted.tests.soak --seeds $(SEEDS) --first $(SEED)
 
-# Versions rolled out while the leader of control is killed; SEED replays one.
+# Rolls out versions while the control leader is killed; SEED replays a run.
 chase: $(STAMP)
 	$(PY) -m damaskcroft.standins.tests.chase --seed $(SEED)
 
 plots: $(STAMP)
 	$(PY) tools/plots.py
 
-# The calm day of every site in a kit of the platform's.
+# Runs the scenario without faults of every site in a kit of the platform.
 platform: $(STAMP)
 	test -n "$(KIT)" || (echo "make platform KIT=/path/to/kit"; exit 2)
 	$(PY) tools/calm_days.py $(KIT) | sh
--- a/conftest.py
+++ b/conftest.py
@@ -1,6 +1,7 @@
-"""Hypothesis profiles, and what tests of several packages share.
+"""Hypothesis profiles, shared fixtures and the list of known failures.
 
-The same verdict on every run, but for `make fuzz`.
+Examples are derandomized, so results are the same on every run; the exception
+is `make fuzz`.
 """
 
 import asyncio
@@ -28,7 +29,7 @@
     stateful_step_count=60,
     suppress_health_check=list(hypothesis.HealthCheck),
 )
-# For showing that a check can fail: the first failure will do.
+# Skips shrinking: to show that a check can fail, any failure is enough.
 hypothesis.settings.register_profile(
     "unshrunk",
     hypothesis.settings.get_profile("ci"),
@@ -39,7 +40,7 @@
 
 @pytest.fixture
 def loop():
-    """An event loop in virtual time."""
+    """Provides an event loop with virtual time."""
     loop = VirtualTimeLoop()
     asyncio.set_event_loop(loop)
     yield loop
@@ -47,11 +48,11 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Tests in KNOWN-RED.txt run, but don't decide; their causes are shown."""
-    listed = pathlib.Path(__file__).parent / "KNOWN-RED.txt"
-    if not listed.exists():
+    """Marks tests in KNOWN-RED.txt as expected failures, with their causes."""
+    list_path = pathlib.Path(__file__).parent / "KNOWN-RED.txt"
+    if not list_path.exists():
         return
-    lines = [line.split("|") for line in listed.read_text().splitlines()]
+    lines = [line.split("|") for line in list_path.read_text().splitlines()]
     cause_by_test = {parts[0].strip(): parts[1].strip() for parts in lines}
     for item in items:
         cause = cause_by_test.get(item.nodeid)
