--- a/damaskcroft/standins/__init__.py
+++ b/damaskcroft/standins/__init__.py
@@ -1,1 +1,4 @@
-"""Stand-ins for what surrounds the system; for development only."""
+"""Stand-ins for external components, load generators and benchmarks.
+
+Used only in development; no process of the system imports this package.
+"""
--- a/damaskcroft/standins/_engine.py
+++ b/damaskcroft/standins/_engine.py
@@ -1,8 +1,8 @@
-"""Stand-in for a model engine: batches, streams, loads versions by order.
+"""Stand-in for a model engine: batches, streams, loads versions on command.
 
-What it answers depends only on the prompt, the request id and the bytes of
-the loaded weights, so that the harness can tell a whole answer from a cut or
-mixed one.
+An answer depends only on the prompt and the bytes of the loaded weights; its
+headers and the journal carry the request id. The test harness can therefore
+tell a complete answer from a truncated one, or one mixed from two versions.
 """
 
 import asyncio
@@ -32,14 +32,14 @@
 
 
 class StandInEngine:
-    """One engine with continuous batching.
+    """A model engine with continuous batching.
 
     Args:
-        journal: where every run and order is written.
-        slots: requests decoded at once; others wait by priority.
-        token_s: time for one token.
-        checks_fencing: refuse orders with an old fencing number.
-        fails_version: a version name that it can't load; empty for none.
+        journal: records every run, load and activation.
+        slots: requests decoded concurrently; others wait by priority.
+        token_s: decoding time of one token.
+        checks_fencing: refuse commands with a stale fencing number.
+        fails_version: name of a version that fails to load; empty for none.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         checks_fencing: bool,
         fails_version: str,
     ):
-        """See the class."""
+        """Starts with no version loaded or active."""
         self._journal = journal
         self._token_s = token_s
         self._checks_fencing = checks_fencing
@@ -63,7 +63,7 @@
         self._loading: set[asyncio.Task] = set()
 
     def routes(self) -> list[Route]:
-        """Its protocol: OpenAI-style calls and orders."""
+        """Returns the HTTP routes: OpenAI-style calls and engine commands."""
         return [
             Route("/v1/completions", self._complete, methods=["POST"]),
             Route("/v1/chat/completions", self._complete, methods=["POST"]),
@@ -83,32 +83,34 @@
         )
 
     async def _load(self, request: Request) -> Response:
-        order = await request.json()
-        if self._is_old(order):
+        command = await request.json()
+        if self._is_stale(command):
             return Response("old fencing number", 409)
-        task = asyncio.create_task(self._load_files(order))
+        task = asyncio.create_task(self._load_version(command))
         self._loading.add(task)
         task.add_done_callback(self._loading.discard)
         return JSONResponse({}, 202)
 
-    async def _load_files(self, order: dict[str, Any]) -> None:
-        manifest = order["manifest"]
-        if order["version"] == self._fails_version:
+    async def _load_version(self, command: dict[str, Any]) -> None:
+        manifest = command["manifest"]
+        if command["version"] == self._fails_version:
             self._failed[manifest] = "out of memory"
             return
-        folder = pathlib.Path(order["folder"])
+        folder = pathlib.Path(command["folder"])
         digest = await asyncio.to_thread(folder_digest, folder)
         self._failed.pop(manifest, None)
         self._versions_by_manifest[manifest] = _Version(
-            manifest, order["version"], digest
+            manifest, command["version"], digest
+        )
+        self._journal.write(
+            "loaded", version=command["version"], weights=digest
         )
-        self._journal.write("loaded", version=order["version"], weights=digest)
 
     async def _activate(self, request: Request) -> Response:
-        order = await request.json()
-        if self._is_old(order):
+        command = await request.json()
+        if self._is_stale(command):
             return Response("old fencing number", 409)
-        manifest = order["manifest"]
+        manifest = command["manifest"]
         if manifest and manifest not in self._versions_by_manifest:
             return Response("not loaded", 404)
         self._active = self._versions_by_manifest.get(manifest)
@@ -118,16 +120,16 @@
         self._journal.write(
             "activated",
             version=self._active.name if self._active else "",
-            fencing=order["fencing"],
+            fencing=command["fencing"],
         )
         return JSONResponse({})
 
-    def _is_old(self, order: dict[str, Any]) -> bool:
+    def _is_stale(self, command: dict[str, Any]) -> bool:
         if not self._checks_fencing:
             return False
-        if order["fencing"] < self._fencing:
+        if command["fencing"] < self._fencing:
             return True
-        self._fencing = order["fencing"]
+        self._fencing = command["fencing"]
         return False
 
     async def _complete(self, request: Request) -> Response:
@@ -144,16 +146,16 @@
         tokens = answer_tokens(document, version.digest, count)
         priority = int(request.headers.get("X-Priority", "2"))
         headers = {"X-Request-Id": request_id, "X-Version": version.name}
-        decoded = self._decode(request_id, tokens, priority)
+        token_stream = self._decode(request_id, tokens, priority)
         if document.get("stream"):
             return StreamingResponse(
-                _as_events(decoded, version.name),
+                _as_events(token_stream, version.name),
                 media_type="text/event-stream",
                 headers=headers,
             )
-        collected = await unless_caller_leaves(request, _collect(decoded))
+        collected = await unless_caller_leaves(request, _collect(token_stream))
         if isinstance(collected, CallerLeft):
-            await decoded.aclose()
+            await token_stream.aclose()
             return Response(status_code=499)
         text = " ".join(collected)
         body = {
@@ -165,47 +167,47 @@
     async def _decode(
         self, request_id: str, tokens: list[str], priority: int
     ) -> AsyncGenerator[str, None]:
-        ended = "cancelled"
+        outcome = "cancelled"
         await self._slots.acquire(priority)
         try:
             for token in tokens:
                 await asyncio.sleep(self._token_s)
                 yield token
-            ended = "whole"
+            outcome = "whole"
         finally:
             self._slots.release()
-            self._journal.write("ended", request_id=request_id, how=ended)
+            self._journal.write("ended", request_id=request_id, how=outcome)
 
 
 class _PrioritySlots:
-    """Slots given to the most urgent waiter first."""
+    """Semaphore that grants a slot to the most urgent waiter first."""
 
     def __init__(self, count: int):
         self._free = count
         self._waiting: asyncio.PriorityQueue[
             tuple[int, int, asyncio.Future]
         ] = asyncio.PriorityQueue()
-        self._number = 0
+        self._last_sequence = 0
 
     async def acquire(self, priority: int) -> None:
         if self._free:
             self._free -= 1
             return
-        turn = asyncio.get_running_loop().create_future()
-        self._number += 1
-        self._waiting.put_nowait((priority, self._number, turn))
+        waiter = asyncio.get_running_loop().create_future()
+        self._last_sequence += 1
+        self._waiting.put_nowait((priority, self._last_sequence, waiter))
         try:
-            await turn
+            await waiter
         except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled():
+            if waiter.done() and not waiter.cancelled():
                 self.release()
             raise
 
     def release(self) -> None:
         while not self._waiting.empty():
-            turn = self._waiting.get_nowait()[2]
-            if not turn.done():
-                turn.set_result(None)
+            waiter = self._waiting.get_nowait()[2]
+            if not waiter.done():
+                waiter.set_result(None)
                 return
         self._free += 1
 
@@ -213,23 +215,23 @@
 def answer_tokens(
     document: dict[str, Any], weights: str, count: int
 ) -> list[str]:
-    """The tokens that given weights answer a prompt with."""
+    """Returns the tokens with which given weights answer a prompt."""
     prompt = document.get("prompt") or json.dumps(document.get("messages", ""))
     seed = hashlib.sha256(f"{weights}/{prompt}".encode()).hexdigest()
     return [f"{seed[:8]}-{number}" for number in range(count)]
 
 
 def folder_digest(folder: pathlib.Path) -> str:
-    """One digest over all files of a folder, manifests left out."""
-    whole = hashlib.sha256()
+    """Returns one digest over all files of a folder except manifests."""
+    digest = hashlib.sha256()
     for path in sorted(p for p in folder.rglob("*") if p.is_file()):
         if path.name == "manifest.pb":
             continue
-        whole.update(path.relative_to(folder).as_posix().encode())
+        digest.update(path.relative_to(folder).as_posix().encode())
         with path.open("rb") as file:
-            while piece := file.read(1024 * 1024):
-                whole.update(piece)
-    return whole.hexdigest()
+            while block := file.read(1024 * 1024):
+                digest.update(block)
+    return digest.hexdigest()
 
 
 async def _collect(tokens: AsyncIterator[str]) -> list[str]:
--- a/damaskcroft/standins/_journal.py
+++ b/damaskcroft/standins/_journal.py
@@ -1,4 +1,7 @@
-"""A target's own journal of what it ran: the oracle of every proof."""
+"""A target's own journal of the requests that it ran.
+
+Tests take it as the oracle: it shows how often each request really ran.
+"""
 
 import json
 import os
@@ -7,7 +10,10 @@
 
 
 class Journal:
-    """Appends one JSON object a line; a kill loses nothing written."""
+    """Appends one JSON object per line, unbuffered.
+
+    Events written before a SIGKILL are kept.
+    """
 
     def __init__(self, path: pathlib.Path):
         """Opens the journal for appending."""
@@ -16,13 +22,13 @@
         self._handle = os.open(path, flags, 0o600)
 
     def write(self, event: str, **fields: object) -> None:
-        """Writes one event with its time."""
+        """Writes one event with the current time."""
         line = json.dumps({"event": event, "at": time.time(), **fields})
         os.write(self._handle, line.encode() + b"\n")
 
 
 def read_journal(path: pathlib.Path) -> list[dict]:
-    """All events of a journal; a line cut off by a kill is left out."""
+    """Returns all events; skips a line truncated by a kill."""
     if not path.exists():
         return []
     events = []
--- a/damaskcroft/standins/_passthrough.py
+++ b/damaskcroft/standins/_passthrough.py
@@ -1,4 +1,4 @@
-"""The baseline: starlette to aiosonic, with nothing in between."""
+"""The baseline of the benchmarks: a plain proxy of starlette and aiosonic."""
 
 from starlette.requests import Request
 from starlette.responses import Response, StreamingResponse
@@ -10,21 +10,21 @@
 
 
 class PassThrough:
-    """Passes completions to one target.
+    """Forwards completions to one target.
 
     Args:
-        target: IP number and port.
+        target: IP address and port.
     """
 
     def __init__(self, target: str):
-        """See the class."""
+        """Creates the client; connections open on demand."""
         self._url = f"http://{target}"
         self._client = make_http_client(
             connections=_CONNECTIONS, connect_timeout_s=5
         )
 
     def routes(self) -> list[Route]:
-        """What it serves."""
+        """Returns the HTTP routes."""
         return [Route("/v1/completions", self._complete, methods=["POST"])]
 
     async def _complete(self, request: Request) -> Response:
@@ -36,7 +36,7 @@
             data=body,
             stream=True,
         )
-        kind = response.headers.get("Content-Type", "")
-        if not kind.startswith("text/event-stream"):
-            return Response(await response.content(), media_type=kind)
-        return StreamingResponse(response.iter_bytes(), media_type=kind)
+        content_type = response.headers.get("Content-Type", "")
+        if not content_type.startswith("text/event-stream"):
+            return Response(await response.content(), media_type=content_type)
+        return StreamingResponse(response.iter_bytes(), media_type=content_type)
--- a/damaskcroft/standins/_service.py
+++ b/damaskcroft/standins/_service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service whose calls may not be repeated."""
+"""Stand-in for a plain service with non-idempotent calls."""
 
 import asyncio
 
@@ -13,18 +13,18 @@
     """Issues numbered vouchers.
 
     Args:
-        journal: where every run is written.
-        work_s: time for one call.
+        journal: records every run.
+        work_s: processing time of one call.
     """
 
     def __init__(self, journal: Journal, work_s: float):
-        """See the class."""
+        """Creates a service that has issued no vouchers."""
         self._journal = journal
         self._work_s = work_s
         self._issued = 0
 
     def routes(self) -> list[Route]:
-        """What it serves."""
+        """Returns the HTTP routes."""
         return [
             Route("/{path:path}", self._call, methods=["GET", "POST", "PUT"])
         ]
--- a/damaskcroft/standins/_weights.py
+++ b/damaskcroft/standins/_weights.py
@@ -15,13 +15,13 @@
 
 
 class WeightServer:
-    """Serves a folder with byte ranges, at the pace of one link.
+    """Serves byte ranges of a folder, paced to the rate of one link.
 
     Args:
-        folder: the root of all weights.
-        rate_bytes_s: the link's rate.
-        requests_per_s: above this rate it answers 429; 0 for no limit.
-        corrupt_every: every n-th range has a byte changed; 0 for none.
+        folder: root folder of all weights.
+        rate_bytes_s: rate of the link.
+        requests_per_s: the rate above which it answers 429; 0 for no limit.
+        corrupt_every: corrupts one byte of every n-th range; 0 for none.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         requests_per_s: float,
         corrupt_every: int,
     ):
-        """See the class."""
+        """Starts with a full token bucket and counters at zero."""
         self._folder = folder
         self._pacer = Pacer(rate_bytes_s)
         self._requests_per_s = requests_per_s
@@ -43,7 +43,7 @@
         self._refused = 0
 
     def routes(self) -> list[Route]:
-        """What it serves; /counts is for the harness."""
+        """Returns the HTTP routes; /counts is for the test harness."""
         return [
             Route("/counts", self._counts),
             Route("/{path:path}", self._get),
@@ -60,7 +60,7 @@
 
     async def _get(self, request: Request) -> Response:
         self._requests += 1
-        if not self._take_token():
+        if not self._consume_token():
             self._refused += 1
             return Response(status_code=429, headers={"Retry-After": "1"})
         path = self._folder / request.path_params["path"]
@@ -69,17 +69,19 @@
         size_bytes = path.stat().st_size
         first, last = 0, size_bytes - 1
         status = 200
-        wanted = request.headers.get("Range")
-        if wanted is not None:
-            start, _, end = wanted.removeprefix("bytes=").partition("-")
+        range_header = request.headers.get("Range")
+        if range_header is not None:
+            start, _, end = range_header.removeprefix("bytes=").partition("-")
             first, last = int(start), min(int(end), size_bytes - 1)
             status = 206
         headers = {"Content-Length": str(last - first + 1)}
         return StreamingResponse(
-            self._parts(path, first, last), status_code=status, headers=headers
+            self._read_range(path, first, last),
+            status_code=status,
+            headers=headers,
         )
 
-    async def _parts(
+    async def _read_range(
         self, path: pathlib.Path, first: int, last: int
     ) -> AsyncIterator[bytes]:
         corrupt = (
@@ -87,10 +89,10 @@
         )
         with path.open("rb") as file:
             file.seek(first)
-            left = last - first + 1
-            while left:
-                part = file.read(min(left, _PART_BYTES))
-                left -= len(part)
+            remaining_bytes = last - first + 1
+            while remaining_bytes:
+                part = file.read(min(remaining_bytes, _PART_BYTES))
+                remaining_bytes -= len(part)
                 if corrupt:
                     part = bytes([part[0] ^ 1]) + part[1:]
                     corrupt = False
@@ -99,13 +101,13 @@
                 yield part
                 await asyncio.sleep(0)
 
-    def _take_token(self) -> bool:
+    def _consume_token(self) -> bool:
         if not self._requests_per_s:
             return True
         now = time.monotonic()
-        earned = (now - self._refilled_at) * self._requests_per_s
+        refilled = (now - self._refilled_at) * self._requests_per_s
         self._refilled_at = now
-        self._tokens = min(self._requests_per_s, self._tokens + earned)
+        self._tokens = min(self._requests_per_s, self._tokens + refilled)
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/damaskcroft/standins/bench_burst.py
+++ b/damaskcroft/standins/bench_burst.py
@@ -1,4 +1,4 @@
-"""Time to N replicas and origin bytes, with real agents on paced links."""
+"""Measures staging time and origin traffic of real agents on paced links."""
 
 import dataclasses
 import datetime
@@ -23,20 +23,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BurstCase:
-    """One burst to be measured.
+    """Parameters of one measured burst.
 
     Attributes:
-        agents: how many.
-        strategy: who fetches from whom.
-        size_bytes: of the model.
-        link_bytes_s: rate of each agent's link, each way; the origin's is
-            twice that, as four copies are to two.
+        agents: number of agents.
+        strategy: peer selection strategy.
+        size_bytes: size of the model.
+        link_bytes_s: rate of each agent's link, each way; the origin's link
+            has twice that rate, the ratio of four copies to two.
         chunk_bytes: size of a chunk.
-        kill_share: share of the agents killed in the middle.
-        corrupt_every: the origin corrupts every n-th range.
-        policy: the record's burst policy.
-        parallel_fetches: chunks asked of peers at once.
-        parallel_uploads: chunks sent to peers at once.
+        kill_share: share of the agents killed halfway through the burst.
+        corrupt_every: the origin corrupts every n-th range; 0 for none.
+        policy: burst policy of the deployment record.
+        parallel_fetches: concurrent chunk fetches from peers.
+        parallel_uploads: concurrent chunk uploads to peers.
     """
 
     agents: int
@@ -66,15 +66,15 @@
 
 
 def run(folder: pathlib.Path) -> list[Measurement]:
-    """Measures every case."""
-    found = []
+    """Measures every burst case."""
+    measurements = []
     for number, case in enumerate(_CASES):
-        found += measure(folder / str(number), case)
-    return found
+        measurements += measure(folder / str(number), case)
+    return measurements
 
 
 def measure(folder: pathlib.Path, case: BurstCase) -> list[Measurement]:
-    """Runs one burst on an idle fleet."""
+    """Runs one burst on a fleet without other load."""
     targets = [
         TargetPlan(f"agent-{number:03}", "drafting", _DOMAINS[number % 3])
         for number in range(case.agents)
@@ -110,21 +110,23 @@
         if (case.kill_share)
         else set()
     )
-    cpu_before = _cpu_s(fleet, set(names) - killed)
+    cpu_before_s = _cpu_s(fleet, set(names) - killed)
     _apply(fleet, case, version)
     if killed:
         time.sleep(bound_s / 2)
         for name in killed:
             fleet.kill(name)
-    waiting = set(names) - killed
-    fleet.wait_for(lambda: _all_staged(fleet, waiting), "staged", _TIMEOUT_S)
-    accepted_at = _logged_at(fleet, "control-0", "record_written")
-    staged_s = max(_staged_at(fleet, waiting)) - accepted_at
-    cpu_s = _cpu_s(fleet, waiting) - cpu_before
+    remaining = set(names) - killed
+    fleet.wait_for(
+        lambda: _have_all_staged(fleet, remaining), "staged", _TIMEOUT_S
+    )
+    accepted_at = _first_logged_at(fleet, "control-0", "record_written")
+    staged_s = max(_staged_times(fleet, remaining)) - accepted_at
+    cpu_s = _cpu_s(fleet, remaining) - cpu_before_s
     counts = fleet.get_json("origin", "/counts")
     status = fleet.status()
     return _measurements(
-        case, version, bound_s, staged_s, cpu_s, counts, status, waiting
+        case, version, bound_s, staged_s, cpu_s, counts, status, remaining
     )
 
 
@@ -136,25 +138,27 @@
     cpu_s: float,
     counts: dict,
     status: dict,
-    waiting: set[str],
+    remaining: set[str],
 ) -> list[Measurement]:
     conditions = {**dataclasses.asdict(case), "bound_s": round(bound_s, 2)}
-    links = []
+    copies_by_link = []
     for holder in status["holders"]:
-        if holder["announcement"]["id"] in waiting:
+        if holder["announcement"]["id"] in remaining:
             burst = holder["report"]["burst"]
-            moved = sum(
+            moved_bytes = sum(
                 int(burst.get(f"{source}_bytes", 0))
                 for source in ("origin", "store", "peer", "sent")
             )
-            links.append(moved / version.size_bytes)
+            copies_by_link.append(moved_bytes / version.size_bytes)
     ratio = staged_s / bound_s
     copies = counts["sent_bytes"] / version.size_bytes
-    gigabytes = len(waiting) * version.size_bytes / 1e9
+    gigabytes = len(remaining) * version.size_bytes / 1e9
     return [
         Measurement("burst.time_ratio", ratio, "ratio", 1.0, conditions),
         Measurement("burst.origin_copies", copies, "copies", 1.0, conditions),
-        Measurement("burst.link_copies", max(links), "copies", 2.0, conditions),
+        Measurement(
+            "burst.link_copies", max(copies_by_link), "copies", 2.0, conditions
+        ),
         Measurement(
             "burst.cpu_per_gb", cpu_s / gigabytes, "s/GB", None, conditions
         ),
@@ -175,28 +179,28 @@
     }
     path = fleet.folder / "record.json"
     path.write_text(json.dumps(record), encoding="utf-8")
-    done = fleet.ctl("apply", str(path))
-    if done.returncode:
-        raise RuntimeError(done.stderr)
+    result = fleet.ctl("apply", str(path))
+    if result.returncode:
+        raise RuntimeError(result.stderr)
 
 
-def _all_staged(fleet: Fleet, names: set[str]) -> bool:
-    return len(_staged_at(fleet, names)) == len(names)
+def _have_all_staged(fleet: Fleet, names: set[str]) -> bool:
+    return len(_staged_times(fleet, names)) == len(names)
 
 
-def _staged_at(fleet: Fleet, names: set[str]) -> list[float]:
-    """When agents logged that they hold the whole version."""
-    times = [_logged_at(fleet, name, "staged") for name in names]
+def _staged_times(fleet: Fleet, names: set[str]) -> list[float]:
+    """Returns the times at which agents logged a complete version."""
+    times = [_first_logged_at(fleet, name, "staged") for name in names]
     return [at for at in times if at]
 
 
-def _logged_at(fleet: Fleet, name: str, event: str) -> float:
-    """Wall-clock time of a process's first event of a name; 0 for none."""
+def _first_logged_at(fleet: Fleet, name: str, event: str) -> float:
+    """Returns the wall-clock time of the first such event, or 0."""
     text = fleet.log_path(name).read_text(encoding="utf-8")
-    found = re.search(rf"time=(\S+) .*event={event} ", text)
-    if found is None:
+    match = re.search(rf"time=(\S+) .*event={event} ", text)
+    if match is None:
         return 0.0
-    return datetime.datetime.fromisoformat(found.group(1)).timestamp()
+    return datetime.datetime.fromisoformat(match.group(1)).timestamp()
 
 
 def _cpu_s(fleet: Fleet, names: set[str]) -> float:
--- a/damaskcroft/standins/bench_control.py
+++ b/damaskcroft/standins/bench_control.py
@@ -1,4 +1,4 @@
-"""Claims a second, accepted to in force, and gaps after failures."""
+"""Measures claim rate, time until a record is in force, overload and gaps."""
 
 import asyncio
 import json
@@ -10,20 +10,24 @@
 from damaskcroft._generated import control_grpc, control_pb2, settings_pb2
 from damaskcroft.config import SettingsFaults, load_settings
 from damaskcroft.rpc import CALL_ERRORS, ChannelPool, load_keys
-from damaskcroft.standins.bench_requests import deploy, hammered, make_version
+from damaskcroft.standins.bench_requests import (
+    deploy,
+    make_version,
+    measure_closed_loop,
+)
+from damaskcroft.standins.closed_loop import ClosedLoopResult
 from damaskcroft.standins.fleet import (
     Fleet,
     FleetPlan,
     TargetPlan,
     running_fleet,
 )
-from damaskcroft.standins.hammer import HammerResult
 from damaskcroft.standins.measure import Measurement, median, percentile, usage
 
 _CLAIM_WORKERS = 128
 _CLAIM_SECONDS = 5.0
 _WRITES = 60
-_GAP_TRIES = 3
+_GAP_TRIALS = 3
 _PROBE_TIMEOUT_S = 0.5
 _IN_FORCE = re.compile(r"event=in_force revision=\d+ took_s=(\S+)")
 _MS = 1000.0
@@ -38,18 +42,18 @@
     plan = FleetPlan(targets, token_s=0.02, slots=4)
     with running_fleet(folder, plan) as fleet:
         deploy(fleet, make_version(fleet))
-        found = asyncio.run(_claims_and_writes(fleet))
-        found += _in_force(fleet)
-        found += _overload(fleet)
-        for name, number in (
+        measurements = asyncio.run(_measure_claims_and_writes(fleet))
+        measurements += _measure_in_force(fleet)
+        measurements += _measure_overload(fleet)
+        for name, signal_number in (
             ("control.gap_killed", signal.SIGKILL),
             ("control.gap_frozen", signal.SIGSTOP),
         ):
-            found.append(_gap(fleet, name, number))
-        return found
+            measurements.append(_measure_gap(fleet, name, signal_number))
+        return measurements
 
 
-async def _claims_and_writes(fleet: Fleet) -> list[Measurement]:
+async def _measure_claims_and_writes(fleet: Fleet) -> list[Measurement]:
     pool = _channel_pool(fleet)
     leader = fleet.grpc_by_name[fleet.leader()]
     stub = control_grpc.ControlStub(pool.channel(leader))
@@ -84,8 +88,8 @@
             body=json.dumps(body).encode(),
             withdraw=number % 2 == 1,
         )
-        seen = await stub.Read(control_pb2.ReadRequest())
-        for record in seen.records:
+        current = await stub.Read(control_pb2.ReadRequest())
+        for record in current.records:
             if record.kind == "drain" and not record.withdrawn:
                 request.expected_revision = record.revision
         await stub.Write(request)
@@ -103,7 +107,7 @@
     ]  # fmt: skip
 
 
-def _in_force(fleet: Fleet) -> list[Measurement]:
+def _measure_in_force(fleet: Fleet) -> list[Measurement]:
     time.sleep(1.0)
     times = []
     for number in range(fleet.plan.controls):
@@ -121,23 +125,27 @@
     ]  # fmt: skip
 
 
-def _overload(fleet: Fleet) -> list[Measurement]:
-    """Alerts and refusals at twice the capacity, and fair shares."""
+def _measure_overload(fleet: Fleet) -> list[Measurement]:
+    """Measures alerts and fairness between customers at twice the capacity."""
     url = fleet.entry_urls()[0]
     slots = fleet.plan.slots * len(fleet.plan.targets) // fleet.plan.entries
-    alone = hammered(url, 2, stream=True, tokens=10, priority="alert")
+    alerts_alone = measure_closed_loop(
+        url, 2, stream=True, tokens=10, priority="alert"
+    )
 
-    async def together() -> list[HammerResult]:
+    async def run_concurrently() -> list[ClosedLoopResult]:
         options = {"stream": True, "tokens": 10, "seconds": 8.0}
         calls = [
-            _hammered(url, slots * 2, customer="large", **options),
-            _hammered(url, 4, customer="small", **options),
-            _hammered(url, 2, customer="crew", priority="alert", **options),
+            _measure_in_thread(url, slots * 2, customer="large", **options),
+            _measure_in_thread(url, 4, customer="small", **options),
+            _measure_in_thread(
+                url, 2, customer="crew", priority="alert", **options
+            ),
         ]
         return list(await asyncio.gather(*calls))
 
-    large, small, alerts = asyncio.run(together())
-    before_s = percentile(alone.first_token_s, 0.95)
+    large, small, alerts = asyncio.run(run_concurrently())
+    before_s = percentile(alerts_alone.first_token_s, 0.95)
     after_s = percentile(alerts.first_token_s, 0.95)
     conditions = {"load": "2x", "slots": slots, "token_s": 0.02}
     share = len(small.latencies_s) / 4 / (len(large.latencies_s) / slots / 2)
@@ -153,17 +161,23 @@
     ]  # fmt: skip
 
 
-async def _hammered(url: str, workers: int, **options) -> HammerResult:
-    return await asyncio.to_thread(hammered, url, workers, **options)
+async def _measure_in_thread(
+    url: str, workers: int, **options
+) -> ClosedLoopResult:
+    return await asyncio.to_thread(measure_closed_loop, url, workers, **options)
 
 
-def _gap(fleet: Fleet, name: str, number: signal.Signals) -> Measurement:
-    """Longest time without an accepted claim after the leader is lost."""
+def _measure_gap(
+    fleet: Fleet, name: str, signal_number: signal.Signals
+) -> Measurement:
+    """Measures the longest time without a granted claim after a leader loss."""
     gaps = []
-    for _ in range(_GAP_TRIES):
+    for _ in range(_GAP_TRIALS):
         leader = fleet.leader()
-        gaps.append(asyncio.run(_gap_once(fleet, leader, number)))
-        if number == signal.SIGKILL:
+        gaps.append(
+            asyncio.run(_gap_after_signal(fleet, leader, signal_number))
+        )
+        if signal_number == signal.SIGKILL:
             fleet.processes_by_name.pop(leader).wait()
             fleet.restart(leader)
         else:
@@ -173,14 +187,16 @@
     return Measurement(name, max(gaps), "s", 2.0, conditions)
 
 
-async def _gap_once(fleet: Fleet, leader: str, number: signal.Signals) -> float:
+async def _gap_after_signal(
+    fleet: Fleet, leader: str, signal_number: signal.Signals
+) -> float:
     pool = _channel_pool(fleet)
     addresses = [
         fleet.grpc_by_name[f"control-{n}"]
         for n in range(fleet.plan.controls)
         if f"control-{n}" != leader
     ]
-    fleet.signal(leader, number)
+    fleet.signal(leader, signal_number)
     started_at = time.monotonic()
     serial = 0
     while True:
--- a/damaskcroft/standins/bench_requests.py
+++ b/damaskcroft/standins/bench_requests.py
@@ -1,4 +1,4 @@
-"""Entry plus agent against a straight pass-through, in the same run."""
+"""Measures entry and agent against a pass-through in the same run."""
 
 import asyncio
 import json
@@ -7,13 +7,17 @@
 import time
 from typing import Any
 
+from damaskcroft.standins.closed_loop import (
+    ClosedLoopPlan,
+    ClosedLoopResult,
+    run_closed_loop,
+)
 from damaskcroft.standins.fleet import (
     Fleet,
     FleetPlan,
     TargetPlan,
     running_fleet,
 )
-from damaskcroft.standins.hammer import HammerPlan, HammerResult, hammer
 from damaskcroft.standins.measure import (
     Measurement,
     median,
@@ -40,22 +44,22 @@
     with running_fleet(folder, plan) as fleet:
         deploy(fleet, make_version(fleet))
         _start_baseline(fleet)
-        ours = fleet.entry_urls()[0]
-        base = f"http://{fleet.http_by_name['baseline']}"
-        found = _latency(ours, base)
-        found += _rate(fleet, ours, base)
-        found += _tokens(fleet, ours, base)
-        found += _claims(ours)
-    return found
+        entry_url = fleet.entry_urls()[0]
+        baseline_url = f"http://{fleet.http_by_name['baseline']}"
+        measurements = _measure_latency(entry_url, baseline_url)
+        measurements += _measure_rate(fleet, entry_url, baseline_url)
+        measurements += _measure_tokens(fleet, entry_url, baseline_url)
+        measurements += _measure_claims(entry_url)
+    return measurements
 
 
 def make_version(fleet: Fleet, size_bytes: int = 2**20) -> ModelVersion:
-    """A small model."""
+    """Writes a small model."""
     return write_model(fleet.weights_folder, _MODEL, "1", size_bytes, 2**18)
 
 
 def deploy(fleet: Fleet, version: ModelVersion) -> None:
-    """Brings a version onto every model engine of a fleet."""
+    """Deploys a version to every model engine of a fleet."""
     record = {
         "schema_version": 2,
         "kind": "deployment",
@@ -68,9 +72,9 @@
     }
     path = fleet.folder / "record.json"
     path.write_text(json.dumps(record), encoding="utf-8")
-    done = fleet.ctl("apply", str(path))
-    if done.returncode:
-        raise RuntimeError(done.stderr)
+    result = fleet.ctl("apply", str(path))
+    if result.returncode:
+        raise RuntimeError(result.stderr)
     count = sum(1 for target in fleet.plan.targets if not target.service)
     fleet.wait_for(
         lambda: len(fleet.serving(version.version)) == count, "deployed"
@@ -78,15 +82,17 @@
     time.sleep(0.5)
 
 
-def hammered(url: str, workers: int, **options: Any) -> HammerResult:
-    """Hammers an address for the usual time."""
-    plan = HammerPlan(
+def measure_closed_loop(
+    url: str, workers: int, **options: Any
+) -> ClosedLoopResult:
+    """Runs a closed-loop load, for the default duration unless given."""
+    plan = ClosedLoopPlan(
         url=url,
         model=_MODEL,
         workers=workers,
         **{"seconds": _SECONDS, **options},
     )
-    return asyncio.run(hammer(plan))
+    return asyncio.run(run_closed_loop(plan))
 
 
 def _start_baseline(fleet: Fleet) -> None:
@@ -103,29 +109,31 @@
     time.sleep(2.0)
 
 
-def _latency(ours: str, base: str) -> list[Measurement]:
-    found = []
+def _measure_latency(entry_url: str, baseline_url: str) -> list[Measurement]:
+    measurements = []
     conditions = {"workers": 1, "tokens": 1}
-    baseline = hammered(base, 1).latencies_s
-    with_us = hammered(ours, 1).latencies_s
+    baseline = measure_closed_loop(baseline_url, 1).latencies_s
+    through_entry = measure_closed_loop(entry_url, 1).latencies_s
     for name, share in (("median", 0.5), ("p99", 0.99)):
         before = percentile(baseline, share) * _MS
-        after = percentile(with_us, share) * _MS
-        found.append(
+        after = percentile(through_entry, share) * _MS
+        measurements.append(
             Measurement(
                 f"requests.added_{name}", after - before, "ms", before,
                 conditions,
             )
         )  # fmt: skip
-    return found
+    return measurements
 
 
-def _rate(fleet: Fleet, ours: str, base: str) -> list[Measurement]:
+def _measure_rate(
+    fleet: Fleet, entry_url: str, baseline_url: str
+) -> list[Measurement]:
     conditions = {"workers": 32, "tokens": 1}
-    before = _per_core(fleet, ["baseline"], base, stream=False)
-    after = _per_core(fleet, ["entry-0", "agent-0"], ours, stream=False)
-    entry = _per_core(fleet, ["entry-0"], ours, stream=False)
-    agent = _per_core(fleet, ["agent-0"], ours, stream=False)
+    before = _per_core(fleet, ["baseline"], baseline_url, stream=False)
+    after = _per_core(fleet, ["entry-0", "agent-0"], entry_url, stream=False)
+    entry = _per_core(fleet, ["entry-0"], entry_url, stream=False)
+    agent = _per_core(fleet, ["agent-0"], entry_url, stream=False)
     return [
         Measurement(
             "requests.per_core", after[0], "1/s/core", before[0], conditions
@@ -139,11 +147,13 @@
     ]
 
 
-def _tokens(fleet: Fleet, ours: str, base: str) -> list[Measurement]:
+def _measure_tokens(
+    fleet: Fleet, entry_url: str, baseline_url: str
+) -> list[Measurement]:
     conditions = {"workers": 32, "tokens": _STREAM_TOKENS}
-    before = _per_core(fleet, ["baseline"], base, stream=True)
-    after = _per_core(fleet, ["entry-0", "agent-0"], ours, stream=True)
-    entry = _per_core(fleet, ["entry-0"], ours, stream=True)
+    before = _per_core(fleet, ["baseline"], baseline_url, stream=True)
+    after = _per_core(fleet, ["entry-0", "agent-0"], entry_url, stream=True)
+    entry = _per_core(fleet, ["entry-0"], entry_url, stream=True)
     return [
         Measurement(
             "tokens.per_core", after[1], "1/s/core", before[1], conditions
@@ -157,18 +167,18 @@
 def _per_core(
     fleet: Fleet, names: list[str], url: str, *, stream: bool
 ) -> tuple[float, float]:
-    """Requests and tokens for each second of processor time."""
+    """Returns requests and tokens per second of processor time."""
     pids = [fleet.processes_by_name[name].pid for name in names]
     before_s = sum(usage(pid).cpu_s for pid in pids)
     tokens = _STREAM_TOKENS if stream else 1
-    result = hammered(url, 32, tokens=tokens, stream=stream)
+    result = measure_closed_loop(url, 32, tokens=tokens, stream=stream)
     cpu_s = sum(usage(pid).cpu_s for pid in pids) - before_s
     return len(result.latencies_s) / cpu_s, result.tokens / cpu_s
 
 
-def _claims(ours: str) -> list[Measurement]:
-    plain = hammered(ours, 4).latencies_s
-    once = hammered(ours, 4, once=True).latencies_s
+def _measure_claims(entry_url: str) -> list[Measurement]:
+    plain = measure_closed_loop(entry_url, 4).latencies_s
+    once = measure_closed_loop(entry_url, 4, once=True).latencies_s
     added_ms = (median(once) - median(plain)) * _MS
     return [
         Measurement(
--- a/damaskcroft/standins/bench_slopes.py
+++ b/damaskcroft/standins/bench_slopes.py
@@ -1,6 +1,6 @@
-"""Slopes for docs/CAPACITY.md: what each further agent, claim, record costs.
+"""Measures the marginal costs for docs/CAPACITY.md: per agent, claim, holder.
 
-Each slope is a least-squares line through three sizes or more.
+Each slope is fitted by least squares to measurements at three or more sizes.
 """
 
 import pathlib
@@ -31,23 +31,28 @@
 
 
 def run(folder: pathlib.Path) -> list[Measurement]:
-    """Measures every slope."""
-    return [*_idle(folder), *_claims(), *_roster(), *_planning()]
+    """Measures all marginal costs."""
+    return [
+        *_measure_idle(folder),
+        *_measure_claims(),
+        *_measure_roster(),
+        *_measure_planning(),
+    ]
 
 
-def _idle(folder: pathlib.Path) -> list[Measurement]:
-    points = []
+def _measure_idle(folder: pathlib.Path) -> list[Measurement]:
+    samples = []
     for count in _AGENT_COUNTS:
-        points.append(_idle_once(folder / str(count), count))
-    found = []
+        samples.append(_idle_usage(folder / str(count), count))
+    measurements = []
     slopes = (
         ("idle.network_bytes_s", "bytes/s/agent"),
         ("idle.leader_cpu", "core/agent"),
     )
     for position, (name, unit) in enumerate(slopes):
-        values = [point[position] for point in points]
-        found.append(_slope(name, unit, _AGENT_COUNTS, values))
-    last = points[-1]
+        values = [sample[position] for sample in samples]
+        measurements.append(_fit_slope(name, unit, _AGENT_COUNTS, values))
+    last = samples[-1]
     figures = (
         ("idle.agent_cpu", "core"),
         ("idle.agent_resident", "bytes"),
@@ -58,11 +63,11 @@
     for position, (name, unit) in enumerate(figures):
         conditions = {"agents": _AGENT_COUNTS[-1]}
         value = last[2 + position]
-        found.append(Measurement(name, value, unit, None, conditions))
-    return found
+        measurements.append(Measurement(name, value, unit, None, conditions))
+    return measurements
 
 
-def _idle_once(folder: pathlib.Path, count: int) -> tuple[float, ...]:
+def _idle_usage(folder: pathlib.Path, count: int) -> tuple[float, ...]:
     targets = [
         TargetPlan(f"agent-{n:03}", "drafting", f"domain-{n % 3}")
         for n in range(count)
@@ -93,7 +98,7 @@
         )
 
 
-def _claims() -> list[Measurement]:
+def _measure_claims() -> list[Measurement]:
     sizes, times_us = [], []
     for count in _CLAIM_COUNTS:
         state = ControlState(10**9, 10**9)
@@ -106,8 +111,12 @@
         sizes.append(float(len(state.snapshot())))
     conditions = {"answer_bytes": _ANSWER_BYTES}
     return [
-        _slope("claims.state", "bytes/claim", _CLAIM_COUNTS, sizes, conditions),
-        _slope("claims.apply", "us/claim", _CLAIM_COUNTS, times_us, conditions),
+        _fit_slope(
+            "claims.state", "bytes/claim", _CLAIM_COUNTS, sizes, conditions
+        ),
+        _fit_slope(
+            "claims.apply", "us/claim", _CLAIM_COUNTS, times_us, conditions
+        ),
     ]
 
 
@@ -140,19 +149,19 @@
     return claim, settle
 
 
-def _roster() -> list[Measurement]:
+def _measure_roster() -> list[Measurement]:
     sizes, rebuilds_us, changes = [], [], []
     for count in _HOLDER_COUNTS:
         state = ControlState(10**9, 10**9)
         for number in range(count):
             command = control_pb2.Command(announce=_holder(number))
             state.apply(number + 1, command.SerializeToString())
-        whole = state.delta_since(0)
-        sizes.append(float(whole.ByteSize()))
+        full_delta = state.delta_since(0)
+        sizes.append(float(full_delta.ByteSize()))
         changes.append(float(state.delta_since(count - 1).ByteSize()))
         roster = Roster()
-        roster.apply(whole)
-        for holder in whole.holders:
+        roster.apply(full_delta)
+        for holder in full_delta.holders:
             roster.reports_by_id[holder.id] = control_pb2.TargetReport(
                 id=holder.id,
                 incarnation=holder.incarnation,
@@ -164,8 +173,8 @@
         table.rebuild()
         rebuilds_us.append((time.process_time() - started_at) * _US)
     return [
-        _slope("roster.snapshot", "bytes/holder", _HOLDER_COUNTS, sizes),
-        _slope("roster.rebuild", "us/holder", _HOLDER_COUNTS, rebuilds_us),
+        _fit_slope("roster.snapshot", "bytes/holder", _HOLDER_COUNTS, sizes),
+        _fit_slope("roster.rebuild", "us/holder", _HOLDER_COUNTS, rebuilds_us),
         Measurement("roster.change", changes[-1], "bytes", None, {}),
     ]
 
@@ -183,7 +192,7 @@
     )
 
 
-def _planning() -> list[Measurement]:
+def _measure_planning() -> list[Measurement]:
     times_us = []
     counts = (100, 500, 1500)
     for count in counts:
@@ -198,24 +207,24 @@
         times_us.append(
             (time.process_time() - started_at) * _US / _PLANNED_CHUNKS
         )
-    return [_slope("burst.plan_chunk", "us/chunk/agent", counts, times_us)]
+    return [_fit_slope("burst.plan_chunk", "us/chunk/agent", counts, times_us)]
 
 
-def _slope(
+def _fit_slope(
     name: str,
     unit: str,
     sizes: tuple[int, ...],
     values: list[float],
     conditions: dict | None = None,
 ) -> Measurement:
-    slope, start = np.polyfit(sizes, values, 1)
-    described = {
+    slope, intercept = np.polyfit(sizes, values, 1)
+    slope_conditions = {
         **(conditions or {}),
         "sizes": list(sizes),
         "values": [round(value, 6) for value in values],
-        "at_zero": round(float(start), 6),
+        "at_zero": round(float(intercept), 6),
     }
-    return Measurement(name, float(slope), unit, None, described)
+    return Measurement(name, float(slope), unit, None, slope_conditions)
 
 
 def _usage(fleet: Fleet, name: str):
@@ -223,7 +232,7 @@
 
 
 def _loopback_bytes() -> int:
-    """Bytes received on the loopback interface (proc(5), net/dev)."""
+    """Returns bytes received on the loopback interface (proc(5), net/dev)."""
     for line in pathlib.Path("/proc/net/dev").read_text().splitlines():
         if line.strip().startswith("lo:"):
             return int(line.split()[1])
--- a/damaskcroft/standins/hammer.py
+++ b/damaskcroft/standins/closed_loop.py
@@ -1,4 +1,7 @@
-"""Closed-loop load for speeds: no checking, no resending."""
+"""Closed-loop load for throughput and latency benchmarks.
+
+Answers are not checked, and failed requests are not sent again.
+"""
 
 import asyncio
 import dataclasses
@@ -13,15 +16,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HammerResult:
-    """What a hammering gave.
+class ClosedLoopResult:
+    """Measurements of a closed-loop load.
 
     Attributes:
-        latencies_s: of every answered request.
-        first_token_s: of every answered request.
-        tokens: streamed tokens.
-        failures: requests that were not answered with 200.
-        took_s: the whole time.
+        latencies_s: time to the end of the answer, per answered request.
+        first_token_s: time to the first token, per answered request.
+        tokens: number of streamed tokens.
+        failures: number of requests not answered with status 200.
+        took_s: total duration.
     """
 
     latencies_s: list[float]
@@ -32,20 +35,20 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HammerPlan:
-    """What is sent.
+class ClosedLoopPlan:
+    """The requests of a closed-loop load.
 
     Attributes:
-        url: an entry, or the pass-through.
-        model: named in each request.
-        workers: requests at once.
-        seconds: for how long.
-        tokens: of one answer.
-        stream: ask for streams.
+        url: base URL of an entry or of the pass-through.
+        model: model of each request.
+        workers: number of concurrent requests.
+        seconds: duration of the load.
+        tokens: number of tokens of one answer.
+        stream: request streamed answers.
         once: give every request an idempotency key.
-        customer: who asks.
-        priority: word for the priority.
-        deadline_ms: of every request.
+        customer: customer of each request.
+        priority: value of the priority header.
+        deadline_ms: deadline of each request.
     """
 
     url: str
@@ -60,27 +63,27 @@
     deadline_ms: int = 30_000
 
 
-async def hammer(plan: HammerPlan) -> HammerResult:
-    """Sends requests for as long as the plan says."""
+async def run_closed_loop(plan: ClosedLoopPlan) -> ClosedLoopResult:
+    """Sends requests from concurrent workers for the planned duration."""
     client = make_http_client(connections=plan.workers, connect_timeout_s=5)
-    result = HammerResult([], [], 0, 0, 0.0)
-    started_at = time.monotonic()
+    result = ClosedLoopResult([], [], 0, 0, 0.0)
+    load_started_at = time.monotonic()
     counts = {"tokens": 0, "failures": 0}
 
-    async def work(number: int) -> None:
+    async def run_worker(number: int) -> None:
         serial = 0
-        while time.monotonic() - started_at < plan.seconds:
+        while time.monotonic() - load_started_at < plan.seconds:
             serial += 1
-            name = f"{started_at}-{number}-{serial}"
+            name = f"{load_started_at}-{number}-{serial}"
             try:
-                await _ask(client, plan, name, result, counts)
+                await _send_request(client, plan, name, result, counts)
             except HTTP_ERRORS:
                 counts["failures"] += 1
 
-    await asyncio.gather(*(work(n) for n in range(plan.workers)))
-    took_s = time.monotonic() - started_at
+    await asyncio.gather(*(run_worker(n) for n in range(plan.workers)))
+    took_s = time.monotonic() - load_started_at
     await client.aclose()
-    return HammerResult(
+    return ClosedLoopResult(
         result.latencies_s,
         result.first_token_s,
         counts["tokens"],
@@ -89,11 +92,11 @@
     )
 
 
-async def _ask(
+async def _send_request(
     client: aiosonic.HTTPClient,
-    plan: HammerPlan,
+    plan: ClosedLoopPlan,
     name: str,
-    result: HammerResult,
+    result: ClosedLoopResult,
     counts: dict[str, int],
 ) -> None:
     headers = {
@@ -116,9 +119,9 @@
     async with client.stream(
         "POST", f"{plan.url}/v1/completions", headers=headers, data=body
     ) as response:
-        async for piece in response.iter_bytes():
+        async for part in response.iter_bytes():
             first_at = first_at or time.monotonic()
-            counts["tokens"] += piece.count(b"data: {")
+            counts["tokens"] += part.count(b"data: {")
         if response.status_code != _OK:
             counts["failures"] += 1
             return
--- a/damaskcroft/standins/fleet.py
+++ b/damaskcroft/standins/fleet.py
@@ -1,7 +1,7 @@
-"""Starts a whole fleet on loopback, for the demo, the bench and tests.
+"""Runs a complete fleet on loopback, for the demo, the benchmarks and tests.
 
-This harness starts processes and ends only those, by pid. No process of the
-system does.
+The harness ends only processes that it has started, by pid. The processes of
+the system neither start nor end other processes.
 """
 
 import contextlib
@@ -25,33 +25,33 @@
 _BIN = pathlib.Path(sys.executable).parent
 _START_TIMEOUT_S = 60.0
 _STOP_TIMEOUT_S = 20.0
-_POLL_S = 0.05
+_POLL_INTERVAL_S = 0.05
 
 
 class ProcessEndedError(Exception):
-    """A process of the fleet ended though nobody ended it.
+    """A process of the fleet ended unexpectedly.
 
     Attributes:
-        name: the process.
+        name: name of the process.
     """
 
     def __init__(self, name: str, status: int, last_line: str):
-        """Keeps what the process left behind."""
+        """Reports the exit status and the last log line of the process."""
         super().__init__(f"{name} ended with {status}: {last_line}")
         self.name = name
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetPlan:
-    """One target to be started, with its agent.
+    """A target to start, with its agent.
 
     Attributes:
-        name: the agent's name.
-        role: drafting, crew-alert, billing, ...
-        region: its district, here also its failure domain.
+        name: name of the agent.
+        role: such as drafting, crew-alert or billing.
+        region: district of the target, also used as its failure domain.
         service: name of the plain service; empty for a model engine.
         checks_fencing: whether the engine refuses old fencing numbers.
-        fails_version: a version that the engine can't load.
+        fails_version: name of a version that the engine fails to load.
     """
 
     name: str
@@ -64,7 +64,7 @@
 
 @dataclasses.dataclass(slots=True)
 class FleetPlan:
-    """Sizes and rates of a fleet.
+    """Sizes, rates and timeouts of a fleet.
 
     Attributes:
         targets: all targets.
@@ -73,17 +73,17 @@
         origin_bytes_s: rate of the origin's link.
         store_requests_s: rate limit of the weight store; 0 for no store.
         link_bytes_s: rate of each agent's link.
-        strategy: who fetches from whom.
-        token_s: time for one token at an engine.
-        slots: requests that a target runs at once.
-        keys: mutual TLS between processes.
+        strategy: peer selection strategy.
+        token_s: decoding time of one token.
+        slots: concurrent requests of a target.
+        keys: whether processes use mutual TLS.
         corrupt_every: the origin corrupts every n-th range; 0 for none.
-        lease_s: length of leases.
-        stall_s: silence after which a chunk's source is replaced.
-        parallel_fetches: chunks asked of peers at once.
-        parallel_uploads: chunks sent to peers at once.
-        start_targets: start a stand-in for each target; without it agents
-            only move weights.
+        lease_s: duration of a lease.
+        stall_s: time without data after which a chunk's source is replaced.
+        parallel_fetches: concurrent chunk fetches from peers.
+        parallel_uploads: concurrent chunk uploads to peers.
+        start_targets: start a stand-in for each target; without targets the
+            agents only transfer weights.
     """
 
     targets: list[TargetPlan]
@@ -105,10 +105,10 @@
 
 
 class Fleet:
-    """Running processes by name, and what the harness knows of them."""
+    """The processes of a fleet by name, with their addresses and commands."""
 
     def __init__(self, folder: pathlib.Path, plan: FleetPlan):
-        """Prepares settings below `folder`; `start` starts processes."""
+        """Creates folders and keys below `folder`; `start` starts processes."""
         self.folder = folder.resolve()
         self.plan = plan
         self.processes_by_name: dict[str, subprocess.Popen] = {}
@@ -124,15 +124,15 @@
     # --- Starting and stopping ------------------------------------------------
 
     def start(self) -> None:
-        """Starts everything and waits until it is ready.
+        """Starts all processes and waits until they are ready.
 
         Raises:
-            ProcessEndedError: a process could not start.
-            TimeoutError: a process is not ready in time.
+            ProcessEndedError: a process failed to start.
+            TimeoutError: a process was not ready in time.
         """
         if not self.http_by_name:
             self.plan_addresses()
-        self._start_outside()
+        self._start_weight_servers()
         for number in range(self.plan.controls):
             self.start_control(number)
         for target in self.plan.targets:
@@ -145,7 +145,7 @@
         self.wait_for(self._all_ready, "every process ready")
 
     def start_control(self, number: int, *, form: bool = True) -> None:
-        """Starts one replica; `form` prepares its folder the first time."""
+        """Starts a replica; `form` formats a data folder that is new."""
         name = f"control-{number}"
         path = self._control_settings(number)
         if form and not (self.folder / name / "log" / "vote").exists():
@@ -154,7 +154,7 @@
         self.start_program(name, [str(_BIN / "damask-control"), str(path)])
 
     def start_target(self, target: TargetPlan) -> None:
-        """Starts a target's stand-in."""
+        """Starts the stand-in of a target."""
         name = f"target-{target.name}"
         listen = self.http_by_name[name]
         journal = str(self.journal_path(target.name))
@@ -175,7 +175,7 @@
         )
 
     def start_agent(self, target: TargetPlan) -> None:
-        """Starts a target's agent."""
+        """Starts the agent of a target."""
         path = self._agent_settings(target)
         self.start_program(target.name, [str(_BIN / "damask-agent"), str(path)])
 
@@ -186,27 +186,27 @@
         self.start_program(name, [str(_BIN / "damask-entry"), str(path)])
 
     def restart(self, name: str) -> None:
-        """Starts an ended process again with the same command."""
+        """Starts a process again with the command of its last start."""
         self.start_program(name, self.commands_by_name[name])
 
     def signal(self, name: str, number: int) -> None:
-        """Sends a signal to one process."""
+        """Sends a signal to a process."""
         self.processes_by_name[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Ends a process at once, like a power cut of its instance."""
+        """Kills a process, as a power failure of its instance would."""
         process = self.processes_by_name.pop(name)
         process.kill()
         process.wait()
 
     def terminate(self, name: str) -> int:
-        """Ends a process gracefully; gives its exit status."""
+        """Ends a process with SIGTERM; returns its exit status."""
         process = self.processes_by_name.pop(name)
         process.terminate()
         return process.wait(timeout=_STOP_TIMEOUT_S)
 
     def stop(self) -> None:
-        """Ends every process."""
+        """Kills every process, suspended ones included."""
         for process in self.processes_by_name.values():
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(signal.SIGCONT)
@@ -215,30 +215,30 @@
             process.wait()
         self.processes_by_name.clear()
 
-    # --- Looking ------------------------------------------------------------
+    # --- Inspection ---------------------------------------------------------
 
     def entry_urls(self) -> list[str]:
-        """Where callers may go."""
+        """Returns the base URLs of the entries."""
         return [
             f"http://{self.http_by_name[f'entry-{number}']}"
             for number in range(self.plan.entries)
         ]
 
     def journal_path(self, target_name: str) -> pathlib.Path:
-        """The run journal of a target."""
+        """Returns the path of the run journal of a target."""
         return self.folder / "journals" / f"{target_name}.jsonl"
 
     def log_path(self, name: str) -> pathlib.Path:
-        """Where a process's log goes."""
+        """Returns the path of the log of a process."""
         return self.folder / "logs" / f"{name}.log"
 
     def last_line(self, name: str) -> str:
-        """The last line of a process's log, or empty."""
+        """Returns the last log line of a process, or an empty string."""
         lines = self.log_path(name).read_text().splitlines()
         return lines[-1] if lines else ""
 
     def get_json(self, name: str, path: str) -> Any:
-        """Reads a JSON page of a process; None when it does not answer."""
+        """Fetches a JSON page of a process; None if it does not answer."""
         url = f"http://{self.http_by_name[name]}{path}"
         try:
             with urllib.request.urlopen(url, timeout=2) as response:
@@ -247,7 +247,7 @@
             return None
 
     def ctl(self, *arguments: str) -> subprocess.CompletedProcess:
-        """Runs damaskctl."""
+        """Runs damaskctl with the fleet's operator settings."""
         environment = {
             **os.environ,
             "DAMASKCTL_SETTINGS": str(self.folder / "operator.ini"),
@@ -261,9 +261,9 @@
         )
 
     def status(self) -> dict[str, Any]:
-        """The status as damaskctl gives it to scripts."""
-        done = self.ctl("status", "--json")
-        return json.loads(done.stdout) if done.returncode == 0 else {}
+        """Returns the parsed output of `damaskctl status --json`."""
+        result = self.ctl("status", "--json")
+        return json.loads(result.stdout) if result.returncode == 0 else {}
 
     def wait_for(
         self,
@@ -271,22 +271,22 @@
         what: str,
         timeout_s: float = _START_TIMEOUT_S,
     ) -> float:
-        """Waits until a condition holds; gives the time it took.
+        """Waits until a condition holds; returns the time taken.
 
         Raises:
-            TimeoutError: it did not come to hold.
-            ProcessEndedError: a process has ended by itself meanwhile.
+            TimeoutError: the condition did not hold in time.
+            ProcessEndedError: a process ended unexpectedly meanwhile.
         """
         started_at = time.monotonic()
         while not condition():
-            self._check_running()
+            self._raise_if_ended()
             if time.monotonic() - started_at > timeout_s:
                 raise TimeoutError(f"waited {timeout_s} s for: {what}")
-            time.sleep(_POLL_S)
+            time.sleep(_POLL_INTERVAL_S)
         return time.monotonic() - started_at
 
     def leader(self) -> str:
-        """Name of the control replica that leads, or empty."""
+        """Returns the name of the control leader, or an empty string."""
         for number in range(self.plan.controls):
             page = self.get_json(f"control-{number}", "/readyz")
             if page and page["leader"]:
@@ -296,7 +296,7 @@
         return ""
 
     def serving(self, version: str) -> list[str]:
-        """Agents whose gate now serves a version."""
+        """Returns the names of agents whose gate serves a version."""
         names = []
         for target in self.plan.targets:
             page = self.get_json(target.name, "/readyz")
@@ -307,7 +307,7 @@
     # --- Settings ------------------------------------------------------------
 
     def plan_addresses(self) -> None:
-        """Gives each process its addresses; `start` does so if need be."""
+        """Assigns addresses to each process; `start` does it if needed."""
         names = ["origin", "store"]
         names += [f"control-{n}" for n in range(self.plan.controls)]
         names += [f"entry-{n}" for n in range(self.plan.entries)]
@@ -317,7 +317,7 @@
             self.grpc_by_name[name] = f"{self.host}:{next(self.ports)}"
             self.http_by_name[name] = f"{self.host}:{next(self.ports)}"
 
-    def _start_outside(self) -> None:
+    def _start_weight_servers(self) -> None:
         program = str(_BIN / "damask-standin")
         origin = [
             program, "weights", str(self.weights_folder),
@@ -451,7 +451,7 @@
     # --- Processes ---------------------------------------------------------
 
     def start_program(self, name: str, command: list[str]) -> None:
-        """Starts any program under a name; its log goes beside the others."""
+        """Starts a program under a name and logs its output to a file."""
         self.commands_by_name[name] = command
         log = self.log_path(name)
         log.parent.mkdir(exist_ok=True)
@@ -477,8 +477,8 @@
         except OSError:
             return False
 
-    def _check_running(self) -> None:
-        """A test must not wait for what an ended process would have done."""
+    def _raise_if_ended(self) -> None:
+        """Raises if a process has ended, so that no test waits for its work."""
         for name, process in self.processes_by_name.items():
             status = process.poll()
             if status is not None:
@@ -487,7 +487,7 @@
 
 @contextlib.contextmanager
 def running_fleet(folder: pathlib.Path, plan: FleetPlan) -> Iterator[Fleet]:
-    """A started fleet; every process is ended with the block."""
+    """Starts a fleet and kills its processes when the block ends."""
     fleet = Fleet(folder, plan)
     try:
         fleet.start()
--- a/damaskcroft/standins/kept_callers.py
+++ b/damaskcroft/standins/kept_callers.py
@@ -1,8 +1,8 @@
-"""Callers of a client library that keeps its connections.
+"""Callers with keep-alive connections, as client libraries have them.
 
-They read one answer at a time. Bytes that came in the same read behind it are
-dropped, as many libraries do, and the connection is not looked at before the
-next request is sent.
+They read one answer at a time. Like many libraries, they discard bytes that
+arrive in the same read after the answer, and they do not check the connection
+before they send the next request on it.
 """
 
 import asyncio
@@ -13,19 +13,19 @@
 
 __all__ = ["Got", "KeptCaller", "asks_on"]
 
-# From sending to reading, as of a caller beside other work.
-_READS_AFTER_S = 0.02
-_LONGEST_S = 10.0
+# Delay between sending and reading, as of a caller with other work to do.
+_READ_DELAY_S = 0.02
+_READ_TIMEOUT_S = 10.0
 
 
 @dataclasses.dataclass(slots=True)
 class Got:
-    """One answer.
+    """An answer as the caller received it.
 
     Attributes:
-        status: its number; empty if the connection ended without one.
-        keeps: whether it promises to keep the connection.
-        followed_by: bytes that came behind it in the same reads.
+        status: status code; empty if the connection ended without an answer.
+        keeps: whether the server keeps the connection open afterwards.
+        followed_by: number of bytes after the answer in the same reads.
     """
 
     status: str
@@ -34,18 +34,18 @@
 
 
 class KeptCaller:
-    """A kept connection; what comes behind an answer is dropped."""
+    """A keep-alive connection that discards bytes after an answer."""
 
     def __init__(self, sock: socket.socket):
-        """Uses a connected socket; see `connected`."""
+        """Wraps a connected socket; see `connected`."""
         self._sock = sock
 
     @classmethod
     async def connected(cls, address: str) -> "KeptCaller":
-        """Connects.
+        """Connects to an address.
 
         Raises:
-            OSError: nobody accepts.
+            OSError: no server accepts the connection.
         """
         host, _, port = address.rpartition(":")
         sock = socket.socket()
@@ -59,36 +59,36 @@
         self._sock.close()
 
     async def asks(self, request: bytes) -> Got:
-        """Sends a request; its answer."""
+        """Sends a request and returns its answer."""
         try:
             await asyncio.get_running_loop().sock_sendall(self._sock, request)
         except OSError:
-            return _NONE
-        await asyncio.sleep(_READS_AFTER_S)
+            return _NO_ANSWER
+        await asyncio.sleep(_READ_DELAY_S)
         return await self.answer()
 
     async def answer(self) -> Got:
-        """The next answer."""
+        """Reads the next answer."""
         data = b""
-        while (got := _one_answer(data)) is None:
-            piece = await self._piece()
-            if not piece:
-                return _NONE
-            data += piece
+        while (got := _parse_answer(data)) is None:
+            received = await self._receive()
+            if not received:
+                return _NO_ANSWER
+            data += received
         return got
 
-    async def _piece(self) -> bytes:
-        async with asyncio.timeout(_LONGEST_S):
+    async def _receive(self) -> bytes:
+        async with asyncio.timeout(_READ_TIMEOUT_S):
             with contextlib.suppress(ConnectionError):
                 loop = asyncio.get_running_loop()
                 return await loop.sock_recv(self._sock, 65536)
         return b""
 
 
-_NONE = Got("", keeps=False, followed_by=0)
+_NO_ANSWER = Got("", keeps=False, followed_by=0)
 
 
-def _one_answer(data: bytes) -> Got | None:
+def _parse_answer(data: bytes) -> Got | None:
     head, found, rest = data.partition(b"\r\n\r\n")
     if not found:
         return None
@@ -98,7 +98,7 @@
         for line in lines
         if line.startswith(b"content-length:")
     ]
-    # Without a length it isn't known where the answer ends.
+    # Without Content-Length the end of the answer is unknown.
     if not lengths or len(rest) < lengths[0]:
         return None
     keeps = b"connection: close" not in lines
@@ -108,16 +108,17 @@
 async def asks_on(
     address: str, request: bytes, outcomes: collections.Counter[str]
 ) -> None:
-    """Asks on one connection until an answer says that it ends.
+    """Sends requests on one connection until an answer ends it or none comes.
 
     Args:
-        address: of the server.
-        request: sent again and again.
-        outcomes: counts statuses, `lost` for a request without an answer, and
-            `glued` for bytes behind an answer that keeps the connection.
+        address: address of the server.
+        request: raw bytes of the request, sent repeatedly.
+        outcomes: counts status codes, `lost` for each request without an
+            answer, and `glued` for each answer that keeps the connection and
+            is followed by further bytes.
 
     Raises:
-        OSError: nobody accepts.
+        OSError: no server accepts the connection.
     """
     caller = await KeptCaller.connected(address)
     keeps = True
--- a/damaskcroft/standins/late_callers.py
+++ b/damaskcroft/standins/late_callers.py
@@ -1,8 +1,8 @@
-"""Callers that connect at the worst moment: when a loop has just looked.
+"""Callers that connect right after an event loop has polled its sockets.
 
-A connection that comes after an event loop's look at its sockets, and before
-the loop runs what it has found, is known to the kernel alone. So is one that
-comes after a server has found no connection to accept.
+A connection that arrives after the poll, and before the loop runs the callbacks
+of that poll, is known only to the kernel. The same holds for a connection that
+arrives after a server has found none to accept.
 """
 
 import asyncio
@@ -14,38 +14,38 @@
 
 __all__ = ["LateCallers"]
 
-# A loop that never stops accepting shall not use up all descriptors.
-_MOST = 200
+# Bounds the file descriptors used when a loop never stops accepting.
+_MAX_CALLERS = 200
 _ANSWER_TIMEOUT_S = 3.0
 
 
 class LateCallers(selectors.DefaultSelector):
-    """A selector that lets a caller connect and send after each look.
+    """A selector that makes a caller connect and send after each poll.
 
     Attributes:
-        place: host and port to connect to; None for no callers.
+        place: host and port to connect to; None disables the callers.
     """
 
     def __init__(self, request: bytes):
-        """Connects nobody until `place` is set."""
+        """Opens no connection until `place` is set."""
         super().__init__()
         self.place: tuple[str, int] | None = None
         self._request = request
         self._sockets: list[socket.socket] = []
 
     def new_loop(self) -> asyncio.AbstractEventLoop:
-        """Makes the event loop that looks through this selector."""
+        """Creates an event loop that polls with this selector."""
         return asyncio.SelectorEventLoop(self)
 
     def select(self, timeout=None):
-        """See selectors.BaseSelector."""
+        """Polls, then makes a caller connect and send."""
         events = super().select(timeout)
         self._connect()
         return events
 
     @contextlib.contextmanager
     def after_accepts(self) -> Iterator[None]:
-        """Lets a caller connect and send after each accept that finds none."""
+        """Makes a caller connect and send after each accept that finds none."""
         accept = socket.socket.accept
 
         def accept_and_connect(listening: socket.socket):
@@ -59,7 +59,7 @@
             yield
 
     def _connect(self) -> None:
-        if self.place is None or len(self._sockets) >= _MOST:
+        if self.place is None or len(self._sockets) >= _MAX_CALLERS:
             return
         try:
             caller = socket.create_connection(self.place)
@@ -70,17 +70,17 @@
         self._sockets.append(caller)
 
     def outcomes(self) -> list[str]:
-        """What each caller got: a status, or how its request was lost."""
-        return [_outcome(caller) for caller in self._sockets]
+        """Returns the status code, or the kind of failure, of each request."""
+        return [_read_outcome(caller) for caller in self._sockets]
 
 
-def _outcome(caller: socket.socket) -> str:
+def _read_outcome(caller: socket.socket) -> str:
     caller.settimeout(_ANSWER_TIMEOUT_S)
     answer = b""
     with contextlib.closing(caller):
         try:
-            while piece := caller.recv(65536):
-                answer += piece
+            while received := caller.recv(65536):
+                answer += received
         except OSError as error:
             return type(error).__name__
     return answer.split()[1].decode() if answer else "no byte"
--- a/damaskcroft/standins/load.py
+++ b/damaskcroft/standins/load.py
@@ -1,4 +1,4 @@
-"""A load of callers that check every answer against the weights."""
+"""Load generator whose callers check every answer against the weights."""
 
 import asyncio
 import collections
@@ -17,25 +17,25 @@
 
 _OK = 200
 _MAX_MICROSECONDS = 600_000_000
-_RESENDS = 60
+_MAX_ATTEMPTS = 60
 _MAX_PAUSE_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
 class LoadPlan:
-    """What the callers do.
+    """Parameters of the load.
 
     Attributes:
-        model: the model they name.
+        model: model of each completion request.
         weights_by_version: content digests of versions that may answer.
         service: name of a plain service, or empty.
-        customers: names of customers.
-        districts: where they ask for answers from.
-        workers: callers at once.
+        customers: names of customers, drawn at random.
+        districts: preferred districts, drawn at random.
+        workers: number of concurrent callers.
         tokens: tokens of one answer.
-        deadline_ms: of every request.
+        deadline_ms: deadline of every request.
         once_share: share of requests that must run at most once.
-        alert_share: share of alerts among the repeatable ones.
+        alert_share: share of alerts among the repeatable requests.
     """
 
     model: str
@@ -51,10 +51,10 @@
 
 
 class LoadCounts:
-    """What became of all requests, by the callers' own count."""
+    """Outcomes of all requests, as the callers counted them."""
 
     def __init__(self) -> None:
-        """Starts at nothing."""
+        """Starts with all counts at zero."""
         self.asked = 0
         self.answered = 0
         self.refusals_by_reason: collections.Counter[str] = (
@@ -67,23 +67,23 @@
         self.not_run_keys: set[str] = set()
         self.versions: collections.Counter[str] = collections.Counter()
         self.first_token_us_by_priority = {
-            word: HdrHistogram(1, _MAX_MICROSECONDS, 3)
-            for word in ("alert", "draft")
+            priority: HdrHistogram(1, _MAX_MICROSECONDS, 3)
+            for priority in ("alert", "draft")
         }
         self.wrong_answers: list[str] = []
 
 
 class Load:
-    """Callers that resend after refusals, as callers should.
+    """Callers that send a request again after a refusal or a lost connection.
 
     Args:
-        urls: the entries; callers turn to the next after a failure.
-        plan: what they do.
-        seed: of all random choices.
+        urls: base URLs of the entries; a caller tries the next after a failure.
+        plan: parameters of the load.
+        seed: seed of all random choices.
     """
 
     def __init__(self, urls: list[str], plan: LoadPlan, seed: int = 1):
-        """See the class."""
+        """Creates the client; `run` starts the callers."""
         self._urls = urls
         self._plan = plan
         self._rng = random.Random(seed)
@@ -95,10 +95,10 @@
             max_idle_ms=1000,
             checks_kept=False,
         )
-        self._patience_s = plan.deadline_ms / 1000 + 5
+        self._timeout_s = plan.deadline_ms / 1000 + 5
 
     def stop(self) -> None:
-        """Lets every caller finish what it has begun."""
+        """Stops new requests; requests in progress are completed."""
         self._stopping.set()
 
     async def run(self) -> LoadCounts:
@@ -115,33 +115,37 @@
             serial += 1
             name = f"{number}-{serial}"
             if self._rng.random() >= self._plan.once_share:
-                await self._ask_repeatable(name)
+                await self._send_repeatable(name)
             elif self._plan.service and self._rng.random() < 0.5:
-                await self._ask_service(name)
+                await self._call_service(name)
             else:
-                await self._ask_once(name)
+                await self._send_once(name)
 
-    async def _ask_repeatable(self, name: str) -> None:
-        word = "draft"
+    async def _send_repeatable(self, name: str) -> None:
+        priority = "draft"
         if self._rng.random() < self._plan.alert_share:
-            word = "alert"
+            priority = "alert"
         document = self._completion(name, stream=self._rng.random() < 0.5)
-        headers = {**self._headers(), "Damask-Priority": word}
-        await self._ask("/v1/completions", document, headers, "", word)
+        headers = {**self._headers(), "Damask-Priority": priority}
+        await self._send_until_answered(
+            "/v1/completions", document, headers, "", priority
+        )
 
-    async def _ask_once(self, name: str) -> None:
+    async def _send_once(self, name: str) -> None:
         document = self._completion(name, stream=self._rng.random() < 0.3)
         document["key"] = f"summary-{name}"
         headers = {**self._headers(), "Idempotency-Key": document["key"]}
-        await self._ask(
+        await self._send_until_answered(
             "/v1/completions", document, headers, document["key"], "draft"
         )
 
-    async def _ask_service(self, name: str) -> None:
+    async def _call_service(self, name: str) -> None:
         key = f"voucher-{name}"
         headers = {**self._headers(), "Idempotency-Key": key}
         path = f"/services/{self._plan.service}/vouchers"
-        await self._ask(path, {"key": key}, headers, key, "draft")
+        await self._send_until_answered(
+            path, {"key": key}, headers, key, "draft"
+        )
 
     def _completion(self, name: str, *, stream: bool) -> dict[str, Any]:
         return {
@@ -159,26 +163,28 @@
             "Damask-Deadline-Ms": str(self._plan.deadline_ms),
         }
 
-    async def _ask(
+    async def _send_until_answered(
         self,
         path: str,
         document: dict[str, Any],
         headers: dict[str, str],
         key: str,
-        word: str,
+        priority: str,
     ) -> None:
         self.counts.asked += 1
         body = json.dumps(document).encode()
-        place = self._rng.randrange(len(self._urls))
-        for attempt in range(_RESENDS):
-            url = self._urls[(place + attempt) % len(self._urls)] + path
+        first_url_index = self._rng.randrange(len(self._urls))
+        for attempt in range(_MAX_ATTEMPTS):
+            url = (
+                self._urls[(first_url_index + attempt) % len(self._urls)] + path
+            )
             started_at = time.monotonic()
-            outcome = await self._send(url, headers, body)
+            outcome = await self._send_attempt(url, headers, body)
             if isinstance(outcome, bytes):
                 took_us = int((time.monotonic() - started_at) * 1e6)
-                histogram = self.counts.first_token_us_by_priority[word]
+                histogram = self.counts.first_token_us_by_priority[priority]
                 histogram.record_value(max(1, took_us))
-                self._check(document, outcome, key)
+                self._check_answer(document, outcome, key)
                 return
             reason, ran, pause_s = outcome
             self.counts.refusals_by_reason[reason] += 1
@@ -188,13 +194,13 @@
             await asyncio.sleep(min(pause_s, _MAX_PAUSE_S))
         self.counts.given_up += 1
 
-    async def _send(
+    async def _send_attempt(
         self, url: str, headers: dict[str, str], body: bytes
     ) -> bytes | tuple[str, str, float]:
-        """The whole answer, or reason, whether it ran, and a pause in s."""
+        """Returns the answer, or a reason, whether it ran and a pause in s."""
         sent_at = time.time()
         try:
-            async with asyncio.timeout(self._patience_s):
+            async with asyncio.timeout(self._timeout_s):
                 response = await self._client.post(
                     url, headers=headers, data=body
                 )
@@ -202,13 +208,13 @@
         except ConnectionRefusedError as error:
             return f"connection_{type(error).__name__}", "unknown", 0.2
         except HTTP_ERRORS as error:
-            _log_lost(url, sent_at, error)
+            _log_lost_request(url, sent_at, error)
             return f"connection_{type(error).__name__}", "unknown", 0.2
         if response.status_code == _OK and b"event: error" not in content:
             return content
-        return _refusal(content)
+        return _parse_refusal(content)
 
-    def _check(
+    def _check_answer(
         self, document: dict[str, Any], content: bytes, key: str
     ) -> None:
         self.counts.answered += 1
@@ -216,22 +222,22 @@
             self.counts.answered_keys.add(key)
         if "prompt" not in document:
             if json.loads(content).get("key") != key:
-                self._note_wrong(content)
+                self._record_wrong_answer(content)
             return
-        # A copy: a test adds versions from another thread.
+        # Iterates over a copy because tests add versions from another thread.
         for version, weights in list(self._plan.weights_by_version.items()):
             tokens = answer_tokens(document, weights, self._plan.tokens)
-            if _text(content) == tokens:
+            if _parse_tokens(content) == tokens:
                 self.counts.versions[version] += 1
                 return
-        self._note_wrong(content)
+        self._record_wrong_answer(content)
 
-    def _note_wrong(self, content: bytes) -> None:
+    def _record_wrong_answer(self, content: bytes) -> None:
         self.counts.wrong += 1
         self.counts.wrong_answers.append(content[:300].decode(errors="replace"))
 
 
-def _log_lost(url: str, sent_at: float, error: BaseException) -> None:
+def _log_lost_request(url: str, sent_at: float, error: BaseException) -> None:
     log_warning(
         "request_lost",
         url=url,
@@ -239,18 +245,18 @@
         after_s=time.time() - sent_at,
         reused=getattr(error, "reused_connection", None),
         notes=getattr(error, "__notes__", []),
-        reason=" from ".join(repr(each) for each in _causes(error)),
+        reason=" from ".join(repr(cause) for cause in _cause_chain(error)),
     )
 
 
-def _causes(error: BaseException | None) -> Iterator[BaseException]:
-    """An error and what it was raised from, the last first."""
+def _cause_chain(error: BaseException | None) -> Iterator[BaseException]:
+    """Yields an error and its causes, the most recent first."""
     while error is not None:
         yield error
         error = error.__cause__ or error.__context__
 
 
-def _refusal(content: bytes) -> tuple[str, str, float]:
+def _parse_refusal(content: bytes) -> tuple[str, str, float]:
     text = content.decode(errors="replace")
     if "event: error" in text:
         text = text.rpartition("data: ")[2]
@@ -262,8 +268,8 @@
         return "not_typed", "unknown", 0.2
 
 
-def _text(content: bytes) -> list[str]:
-    """The tokens of an answer, whole or streamed."""
+def _parse_tokens(content: bytes) -> list[str]:
+    """Returns the tokens of a plain or streamed answer."""
     if not content.startswith(b"data:"):
         return json.loads(content)["choices"][0]["text"].split()
     lines = content.decode().split("\n\n")
--- a/damaskcroft/standins/loopback.py
+++ b/damaskcroft/standins/loopback.py
@@ -1,9 +1,9 @@
 """Loopback addresses that no other fleet uses at the same time.
 
-Ports that are looked for, let go and bound later are taken meanwhile by other
-fleets, or by outgoing connections. So each process that starts fleets holds a
-network of its own, 127.x.y.0/24, for as long as it lives. Connections to a
-loopback address come from 127.0.0.1 and take no port of these networks.
+A free port that is found, released and bound later can be taken in between by
+another fleet or by an outgoing connection. Each process that starts fleets
+therefore reserves a network, 127.x.y.0/24, for its lifetime. Connections to a
+loopback address originate from 127.0.0.1 and use no port of these networks.
 """
 
 import functools
@@ -14,53 +14,53 @@
 
 __all__ = ["LoopbackNetwork", "free_address", "own_network", "ports"]
 
-# Bound by the owner of a network, at its last address.
-_GUARD_HOST = 254
+# The owner of a network binds this socket at its last address.
+_GUARD_HOST_OCTET = 254
 _GUARD_PORT = 19_999
 _FIRST_PORT = 20_000
-# Second numbers of networks: high ones, which nobody picks by hand.
-_SECOND_NUMBERS = range(64, 128)
-_TRIES = 100
-# Below are addresses that tests give out by hand.
-_HOSTS = range(20, 200)
+# Second octets of networks: high values, not used in hand-written addresses.
+_SECOND_OCTETS = range(64, 128)
+_MAX_ATTEMPTS = 100
+# Lower host octets are hard-coded in tests.
+_HOST_OCTETS = range(20, 200)
 
 
 class LoopbackNetwork:
-    """A /24 that this process holds.
+    """A /24 network reserved by this process.
 
     Attributes:
-        prefix: its first three numbers, such as `127.70.3`.
+        prefix: the first three octets, such as `127.70.3`.
     """
 
     def __init__(self, prefix: str, guard: socket.socket):
-        """Holds a network by its guard; see `own_network`."""
+        """Reserves a network while `guard` stays open; see `own_network`."""
         self.prefix = prefix
         self._guard = guard
-        self._numbers = itertools.cycle(_HOSTS)
+        self._host_octets = itertools.cycle(_HOST_OCTETS)
 
     def next_host(self) -> str:
-        """An address that no fleet of this process has used lately."""
-        return f"{self.prefix}.{next(self._numbers)}"
+        """Returns the next address, cycling through the network."""
+        return f"{self.prefix}.{next(self._host_octets)}"
 
 
 def ports() -> Iterator[int]:
-    """Ports of one address, each once."""
+    """Iterates over the ports of an address, each once."""
     return iter(range(_FIRST_PORT, 2**16))
 
 
 @functools.cache
 def own_network() -> LoopbackNetwork:
-    """The network of this process.
+    """Returns the network of this process; reserves it on first use.
 
     Raises:
-        OSError: none was free.
+        OSError: no network is free.
     """
     rng = random.SystemRandom()
-    for _ in range(_TRIES):
-        prefix = f"127.{rng.choice(_SECOND_NUMBERS)}.{rng.randrange(256)}"
+    for _ in range(_MAX_ATTEMPTS):
+        prefix = f"127.{rng.choice(_SECOND_OCTETS)}.{rng.randrange(256)}"
         guard = socket.socket()
         try:
-            guard.bind((f"{prefix}.{_GUARD_HOST}", _GUARD_PORT))
+            guard.bind((f"{prefix}.{_GUARD_HOST_OCTET}", _GUARD_PORT))
         except OSError:
             guard.close()
             continue
@@ -69,5 +69,5 @@
 
 
 def free_address() -> str:
-    """An address and port that nobody else binds meanwhile."""
+    """Returns an address and port that no other fleet binds."""
     return f"{own_network().next_host()}:{_FIRST_PORT}"
--- a/damaskcroft/standins/main.py
+++ b/damaskcroft/standins/main.py
@@ -1,4 +1,4 @@
-"""damask-standin: origin, weight store, model engine and plain service."""
+"""The damask-standin program: origin, weight store, engine and service."""
 
 import asyncio
 import pathlib
@@ -19,7 +19,7 @@
     pretty_exceptions_enable=False, add_completion=False, no_args_is_help=True
 )
 
-Listen = Annotated[str, typer.Option(help="IP number and port")]
+Listen = Annotated[str, typer.Option(help="IP address and port")]
 JournalFile = Annotated[pathlib.Path, typer.Option(help="the run journal")]
 
 
--- a/damaskcroft/standins/measure.py
+++ b/damaskcroft/standins/measure.py
@@ -1,4 +1,4 @@
-"""Measurements and what the kernel tells of a process."""
+"""Benchmark measurements and resource usage of a process."""
 
 import dataclasses
 import os
@@ -11,14 +11,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Measurement:
-    """One figure with what it needs to be understood.
+    """A measured value with its unit, baseline and conditions.
 
     Attributes:
-        name: fixed name.
-        value: the figure.
-        unit: its unit.
-        baseline: what to compare it with, in the same unit, or None.
-        conditions: sizes, rates and faults of the run.
+        name: identifies the measurement across runs.
+        value: the measured value.
+        unit: unit of the value.
+        baseline: value to compare with, in the same unit, or None.
+        conditions: sizes, rates and injected faults of the run.
     """
 
     name: str
@@ -28,7 +28,7 @@
     conditions: dict[str, Any]
 
     def as_json(self) -> dict[str, Any]:
-        """As it is written to build/bench.jsonl."""
+        """Returns the object that is written to build/bench.jsonl."""
         document = dataclasses.asdict(self)
         document["value"] = round(self.value, 4)
         return document
@@ -36,12 +36,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process has used.
+    """Resources used by a process.
 
     Attributes:
         cpu_s: processor time, user and system.
-        resident_bytes: memory now resident.
-        peak_bytes: most memory ever resident.
+        resident_bytes: current resident set size.
+        peak_bytes: peak resident set size.
     """
 
     cpu_s: float
@@ -50,7 +50,7 @@
 
 
 def usage(pid: int) -> Usage:
-    """Reads /proc (proc(5)) for one of our processes."""
+    """Reads the usage of a process from /proc (proc(5))."""
     folder = pathlib.Path(f"/proc/{pid}")
     fields = (folder / "stat").read_text().rpartition(")")[2].split()
     cpu_s = (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
@@ -63,11 +63,11 @@
 
 
 def median(values: list[float]) -> float:
-    """The middle value, the lower of two."""
+    """Returns the median, as `percentile` selects it."""
     return percentile(values, 0.5)
 
 
 def percentile(values: list[float], share: float) -> float:
-    """The value at a share of the sorted values."""
+    """Returns the sorted value at a share between 0 and 1."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
--- a/damaskcroft/standins/models.py
+++ b/damaskcroft/standins/models.py
@@ -1,4 +1,4 @@
-"""Writes small model folders of seeded random numbers, for development."""
+"""Writes small model folders of seeded random numbers."""
 
 import json
 import pathlib
@@ -10,11 +10,11 @@
 from damaskcroft.weights import build_manifest, manifest_digest, weights_path
 
 _TENSORS_PER_FILE = 4
-_FILES = 4
+_FILE_COUNT = 4
 
 
 class ModelVersion:
-    """A version that lies in the outside sources' folder."""
+    """A model version in the folder served by the origin and the store."""
 
     __slots__ = ("digest", "folder", "model", "size_bytes", "version",
                  "weights_digest")  # fmt: skip
@@ -22,7 +22,7 @@
     def __init__(
         self, model: str, version: str, folder: pathlib.Path, digest: str
     ):
-        """Reads the folder's size and content digest."""
+        """Computes the size and the content digest of the folder."""
         self.model = model
         self.version = version
         self.folder = folder
@@ -44,19 +44,19 @@
     """Writes a multi-file model and its manifest.
 
     Args:
-        root: the outside sources' folder.
-        model: the model's name; also the seed of what versions share.
-        version: the version's name; seeds what is its own.
-        size_bytes: size of all tensors.
+        root: the folder served by the origin and the store.
+        model: name of the model; seeds the files that versions share.
+        version: name of the version; seeds the files specific to it.
+        size_bytes: total size of all tensors.
         chunk_size_bytes: size of a chunk.
-        changed_share: share of the files that differ from other versions.
+        changed_share: share of the files that are specific to the version.
     """
     folder = root / weights_path(model, "", version)
     folder.mkdir(parents=True, exist_ok=True)
-    count = size_bytes // (4 * _FILES * _TENSORS_PER_FILE)
-    for number in range(_FILES):
-        own = number < round(changed_share * _FILES)
-        seed = f"{model}/{version if own else ''}/{number}"
+    count = size_bytes // (4 * _FILE_COUNT * _TENSORS_PER_FILE)
+    for number in range(_FILE_COUNT):
+        is_version_specific = number < round(changed_share * _FILE_COUNT)
+        seed = f"{model}/{version if is_version_specific else ''}/{number}"
         _write_file(folder / f"model-{number}.safetensors", seed, count)
     config = {"model": model, "version": version}
     (folder / "config.json").write_text(json.dumps(config), encoding="utf-8")
@@ -66,7 +66,7 @@
 def describe_model(
     root: pathlib.Path, model: str, version: str, chunk_size_bytes: int
 ) -> ModelVersion:
-    """Writes the manifest of a folder that is there already."""
+    """Writes the manifest of an existing folder."""
     folder = root / weights_path(model, "", version)
     content = build_manifest(
         folder,
--- a/damaskcroft/standins/stopping_callers.py
+++ b/damaskcroft/standins/stopping_callers.py
@@ -1,4 +1,4 @@
-"""Callers of several habits that send over the whole stop of a server."""
+"""Callers with several connection patterns that send while a server stops."""
 
 import asyncio
 import contextlib
@@ -16,35 +16,35 @@
 __all__ = ["RequestTemplate", "StoppingCallers"]
 
 _ANSWER_TIMEOUT_S = 10.0
-# Time between a connection and its request, or between two parts of that.
-_MOST_QUIET_S = 2.4
-_MOST_SPLIT_S = 0.4
+# Time between connecting and sending, and between two parts of a request.
+_MAX_IDLE_BEFORE_REQUEST_S = 2.4
+_MAX_SPLIT_PAUSE_S = 0.4
 _SPLIT_AT = 40
 _REFUSED = "refused"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestTemplate:
-    """What each caller asks.
+    """The request that each caller sends.
 
     Attributes:
-        method: of HTTP.
-        path: begins with a slash.
-        headers_of: headers of the caller with this number.
-        body: may be empty.
+        method: HTTP method.
+        path: request path, with a leading slash.
+        headers_for: returns the headers for a caller number.
+        body: request body; may be empty.
     """
 
     method: str
     path: str
-    headers_of: Callable[[int], dict[str, str]]
+    headers_for: Callable[[int], dict[str, str]]
     body: bytes = b""
 
     def raw(self, number: int) -> bytes:
-        """The request's bytes."""
+        """Returns the request of a caller as raw bytes."""
         headers = {
             "Host": "h",
             "Content-Length": str(len(self.body)),
-            **self.headers_of(number),
+            **self.headers_for(number),
         }
         lines = [f"{self.method} {self.path} HTTP/1.1"]
         lines += [f"{name}: {value}" for name, value in headers.items()]
@@ -52,116 +52,130 @@
 
 
 class StoppingCallers:
-    """As many callers of each habit, who send at moments drawn from a seed.
+    """The same number of callers for each pattern, sending at seeded times.
 
-    `kept` and `library` hold a connection that has had an answer and send on
-    it without a look; `fresh` connect and send; `quiet` connect and send
-    later; `split` send their head in two parts.
+    `kept` and `library` reuse a connection that has carried an answer, without
+    checking that it is still open; `fresh` connect and send at once; `quiet`
+    connect and send later; `split` send their request head in two parts.
     """
 
     def __init__(
-        self, address: str, template: RequestTemplate, each: int, seed: int = 1
+        self,
+        address: str,
+        template: RequestTemplate,
+        callers_per_pattern: int,
+        seed: int = 1,
     ):
-        """Nobody connects before `sending`."""
+        """Opens no connection before `sending`."""
         host, _, port = address.rpartition(":")
-        self._place = host, int(port)
+        self._address = host, int(port)
         self._url = f"http://{address}{template.path}"
         self._template = template
-        self._each = each
+        self._callers_per_pattern = callers_per_pattern
         self._rng = random.Random(seed)
-        pool = PoolConfig(size=each, max_conn_idle_ms=60_000)
+        pool = PoolConfig(size=callers_per_pattern, max_conn_idle_ms=60_000)
         connector = TCPConnector(pool_configs={":default": pool})
-        self._library = aiosonic.HTTPClient(connector)
+        self._library_client = aiosonic.HTTPClient(connector)
 
     @contextlib.asynccontextmanager
     async def sending(self, over_s: float) -> AsyncIterator[list[str]]:
-        """Sends all requests within `over_s` of the block's beginning.
+        """Sends all requests within `over_s` of entering the block.
 
         Yields:
-            Filled at the block's end with `habit status` or, for a lost
-            request, `habit error`, one for each request that was sent.
+            A list filled at the end of the block: `pattern status` or, for a
+            lost request, `pattern error`, for each request that was sent.
         """
         outcomes: list[str] = []
-        socks = [await self._kept() for _ in range(self._each)]
-        await _all(self._ask_library(number) for number in range(self._each))
+        kept_sockets = [
+            await self._open_kept_connection()
+            for _ in range(self._callers_per_pattern)
+        ]
+        await _gather(
+            self._send_with_library(number)
+            for number in range(self._callers_per_pattern)
+        )
         tasks = [
-            asyncio.create_task(self._one(habit, number, socks, over_s))
-            for habit in ("kept", "fresh", "quiet", "split", "library")
-            for number in range(self._each)
+            asyncio.create_task(
+                self._run_caller(pattern, number, kept_sockets, over_s)
+            )
+            for pattern in ("kept", "fresh", "quiet", "split", "library")
+            for number in range(self._callers_per_pattern)
         ]
         try:
             yield outcomes
-            outcomes += [o for o in await _all(tasks) if _REFUSED not in o]
+            outcomes += [o for o in await _gather(tasks) if _REFUSED not in o]
         finally:
             for task in tasks:
                 task.cancel()
-            await self._library.aclose()
+            await self._library_client.aclose()
 
-    async def _one(
+    async def _run_caller(
         self,
-        habit: str,
+        pattern: str,
         number: int,
-        socks: list[socket.socket],
+        kept_sockets: list[socket.socket],
         over_s: float,
     ) -> str:
-        quiet_s = self._rng.uniform(0, min(_MOST_QUIET_S, over_s))
-        after_s = self._rng.uniform(0, over_s)
-        if habit == "quiet":
-            after_s = max(0.0, after_s - quiet_s)
-        await asyncio.sleep(after_s)
-        if habit == "library":
-            return f"{habit} {await self._ask_library(number)}"
-        if habit == "kept":
-            sock = socks[number]
+        idle_s = self._rng.uniform(0, min(_MAX_IDLE_BEFORE_REQUEST_S, over_s))
+        delay_s = self._rng.uniform(0, over_s)
+        if pattern == "quiet":
+            delay_s = max(0.0, delay_s - idle_s)
+        await asyncio.sleep(delay_s)
+        if pattern == "library":
+            return f"{pattern} {await self._send_with_library(number)}"
+        if pattern == "kept":
+            sock = kept_sockets[number]
         else:
             try:
-                sock = await self._connected()
+                sock = await self._connect()
             except ConnectionRefusedError:
-                return f"{habit} {_REFUSED}"
-        pause_s = quiet_s if habit == "quiet" else 0.0
-        return f"{habit} {await self._ask(sock, number, habit, pause_s)}"
+                return f"{pattern} {_REFUSED}"
+        pause_s = idle_s if pattern == "quiet" else 0.0
+        return f"{pattern} {await self._send(sock, number, pattern, pause_s)}"
 
-    async def _connected(self) -> socket.socket:
+    async def _connect(self) -> socket.socket:
         sock = socket.socket()
         sock.setblocking(False)
         try:
-            await asyncio.get_running_loop().sock_connect(sock, self._place)
+            await asyncio.get_running_loop().sock_connect(sock, self._address)
         except OSError:
             sock.close()
             raise
         return sock
 
-    async def _kept(self) -> socket.socket:
-        sock = await self._connected()
+    async def _open_kept_connection(self) -> socket.socket:
+        sock = await self._connect()
         raw = self._template.raw(0)
         await asyncio.get_running_loop().sock_sendall(sock, raw)
-        await _status(sock)
+        await _read_status(sock)
         return sock
 
-    async def _ask(
-        self, sock: socket.socket, number: int, habit: str, pause_s: float
+    async def _send(
+        self, sock: socket.socket, number: int, pattern: str, pause_s: float
     ) -> str:
         loop = asyncio.get_running_loop()
         raw = self._template.raw(number)
         with contextlib.closing(sock):
             try:
                 await asyncio.sleep(pause_s)
-                if habit == "split":
+                if pattern == "split":
                     await loop.sock_sendall(sock, raw[:_SPLIT_AT])
-                    await asyncio.sleep(self._rng.uniform(0, _MOST_SPLIT_S))
+                    await asyncio.sleep(
+                        self._rng.uniform(0, _MAX_SPLIT_PAUSE_S)
+                    )
                     raw = raw[_SPLIT_AT:]
                 await loop.sock_sendall(sock, raw)
-                return await _status(sock)
+                return await _read_status(sock)
             except OSError as error:
                 return type(error).__name__
 
-    async def _ask_library(self, number: int) -> str:
+    async def _send_with_library(self, number: int) -> str:
         template = self._template
         try:
-            response = await self._library.request(
+            response = await self._library_client.request(
                 self._url,
                 method=template.method,
-                headers=template.headers_of(number),
+                headers=template.headers_for(number),
                 data=template.body or None,
             )
             await response.content()
@@ -172,24 +186,24 @@
         return str(response.status_code)
 
 
-async def _all(works: Iterable[Awaitable[str]]) -> list[str]:
-    return list(await asyncio.gather(*works))
+async def _gather(awaitables: Iterable[Awaitable[str]]) -> list[str]:
+    return list(await asyncio.gather(*awaitables))
 
 
-async def _status(sock: socket.socket) -> str:
-    """The status of a whole answer, or `no byte` or `cut`."""
+async def _read_status(sock: socket.socket) -> str:
+    """Returns the status of a complete answer, or `no byte` or `cut`."""
     loop = asyncio.get_running_loop()
     data = b""
     async with asyncio.timeout(_ANSWER_TIMEOUT_S):
-        while not _is_whole(data):
-            piece = await loop.sock_recv(sock, 65536)
-            if not piece:
+        while not _is_complete(data):
+            received = await loop.sock_recv(sock, 65536)
+            if not received:
                 return "cut" if data else "no byte"
-            data += piece
+            data += received
     return data.split()[1].decode()
 
 
-def _is_whole(data: bytes) -> bool:
+def _is_complete(data: bytes) -> bool:
     head, end, body = data.partition(b"\r\n\r\n")
     lengths = [
         int(line.partition(b":")[2])
--- a/damaskcroft/standins/tests/conftest.py
+++ b/damaskcroft/standins/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A running fleet for tests with real processes."""
+"""Fixtures that run a fleet of real processes."""
 
 import asyncio
 import collections
@@ -19,7 +19,7 @@
 
 
 def targets():
-    planned = [
+    plans = [
         TargetPlan(
             f"drafting-{number}",
             "drafting",
@@ -28,13 +28,13 @@
         )
         for number in range(3)
     ]
-    planned.append(
+    plans.append(
         TargetPlan("register-0", "register", "tunis", service="register")
     )
-    return planned
+    return plans
 
 
-def record(version, **rollout):
+def deployment_record(version, **rollout):
     return {
         "schema_version": 2,
         "kind": "deployment",
@@ -48,7 +48,7 @@
 
 
 class Site:
-    """A fleet with helpers that a test reads well with."""
+    """A running fleet, with helpers to deploy versions and wait for them."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -63,13 +63,13 @@
 
     def apply(self, version, **rollout):
         path = self.fleet.folder / f"record-{version.version}.json"
-        path.write_text(json.dumps(record(version, **rollout)))
+        path.write_text(json.dumps(deployment_record(version, **rollout)))
         return self.fleet.ctl("apply", str(path))
 
     def deploy(self, name):
         version = self.write_version(name)
-        done = self.apply(version)
-        assert done.returncode == 0, done.stderr
+        result = self.apply(version)
+        assert result.returncode == 0, result.stderr
         self.wait_served(name)
         return version
 
@@ -93,7 +93,7 @@
 
 
 class BackgroundLoad:
-    """Callers in a thread of their own, while the test breaks things."""
+    """A load that runs in a thread while the test injects faults."""
 
     def __init__(self, site, options):
         weights = {n: v.weights_digest for n, v in site.versions.items()}
@@ -107,9 +107,9 @@
         )
         self.site = site
         self.plan = plan
-        self.thread = threading.Thread(target=self.work)
+        self.thread = threading.Thread(target=self.run_load)
 
-    def work(self):
+    def run_load(self):
         async def run():
             self.load = Load(self.site.fleet.entry_urls(), self.plan)
             self.loop = asyncio.get_running_loop()
@@ -129,7 +129,7 @@
         self.thread.join(timeout=120)
         assert not self.thread.is_alive()
 
-    def check_promises(self, *, unknown_allowed=0):
+    def assert_guarantees(self, *, unknown_allowed=0):
         counts, runs = self.counts, self.site.runs_by_key()
         assert counts.wrong == 0, counts.wrong_answers[:3]
         assert counts.given_up == 0, counts.refusals_by_reason
--- a/damaskcroft/standins/tests/test_processes.py
+++ b/damaskcroft/standins/tests/test_processes.py
@@ -1,4 +1,9 @@
-"""Real processes, killed, frozen, emptied and stopped under load."""
+"""Real processes that are killed, suspended or restarted without data.
+
+Most tests run under a load that checks every answer, and then compare it with
+the journals of the targets: no request with an idempotency key may run twice,
+and none that was answered may be missing there.
+"""
 
 import json
 import shutil
@@ -9,7 +14,7 @@
 from damaskcroft.standins._journal import read_journal
 
 
-def test_leader_killed_in_a_burst(site):
+def test_rollout_completes_when_leader_is_killed_during_burst(site):
     site.deploy("1")
     with site.load() as load:
         time.sleep(0.5)
@@ -21,10 +26,10 @@
         site.wait_served("2")
         site.fleet.restart(leader)
         time.sleep(1.0)
-    load.check_promises()
+    load.assert_guarantees()
 
 
-def test_frozen_leader_reverts_nothing(site):
+def test_suspended_leader_does_not_revert_version(site):
     site.deploy("1")
     version = site.write_version("2")
     leader = site.fleet.leader()
@@ -32,27 +37,28 @@
         load.plan.weights_by_version["2"] = version.weights_digest
         site.fleet.signal(leader, signal.SIGSTOP)
         site.fleet.wait_for(
-            lambda: site.apply(version).returncode == 0, "a new leader"
+            lambda: site.apply(version).returncode == 0,
+            "a new leader accepts the record",
         )
         site.wait_served("2")
         site.fleet.signal(leader, signal.SIGCONT)
         time.sleep(2.0)
         assert len(site.fleet.serving("2")) == 3
-    load.check_promises()
+    load.assert_guarantees()
 
 
-def test_agent_frozen_beyond_its_lease(site):
+def test_agent_suspended_beyond_its_lease_runs_nothing_twice(site):
     site.deploy("1")
     with site.load() as load:
         site.fleet.signal("drafting-1", signal.SIGSTOP)
         time.sleep(4.0)
         site.fleet.signal("drafting-1", signal.SIGCONT)
         time.sleep(1.5)
-    # A run begun before the freeze may have an outcome that is unknown.
-    load.check_promises(unknown_allowed=site.fleet.plan.slots)
+    # Runs that began before the suspension may have an unknown outcome.
+    load.assert_guarantees(unknown_allowed=site.fleet.plan.slots)
 
 
-def test_second_replica_lost_right_after_the_first_is_repaired(site):
+def test_records_survive_second_replica_loss_after_first_is_repaired(site):
     site.deploy("1")
     before = site.fleet.status()["records"]
     for name in ("control-0", "control-1"):
@@ -66,7 +72,7 @@
                 promoted in site.fleet.log_path(f"control-{n}").read_text()
                 for n in range(3)
             ),
-            f"{name} counts again",
+            f"{name} is a voter again",
         )
     assert site.fleet.status()["records"] == before
     version = site.write_version("2")
@@ -74,7 +80,7 @@
     site.wait_served("2")
 
 
-def test_entry_killed_while_callers_resend_to_the_other(site):
+def test_entry_killed_while_callers_retry_runs_nothing_twice(site):
     site.deploy("1")
     with site.load(once_share=0.8) as load:
         time.sleep(1.0)
@@ -82,10 +88,10 @@
         time.sleep(1.0)
         site.fleet.restart("entry-0")
         time.sleep(2.0)
-    load.check_promises()
+    load.assert_guarantees()
 
 
-def test_agents_stopped_and_replaced_under_streams_cut_nothing(site):
+def test_restarted_agents_do_not_truncate_streams(site):
     site.deploy("1")
     with site.load(tokens=60, once_share=0.3) as load:
         time.sleep(1.0)
@@ -94,7 +100,7 @@
             site.fleet.restart(name)
             site.wait_served("1")
     counts = load.counts
-    load.check_promises()
+    load.assert_guarantees()
     assert "target_lost" not in counts.refusals_by_reason
     assert "outcome_unknown" not in counts.refusals_by_reason
 
@@ -106,14 +112,14 @@
         assert site.fleet.terminate("entry-1") == 0
         site.fleet.restart("entry-1")
         time.sleep(2.0)
-    load.check_promises()
+    load.assert_guarantees()
     cut = [r for r in load.counts.refusals_by_reason if "Disconnect" in r]
     assert cut == []
 
 
 def test_version_that_fails_to_load_stops_at_its_first_target(site):
     site.deploy("1")
-    broken = site.fleet.plan.targets[0]
+    first_target = site.fleet.plan.targets[0]
     for target in site.fleet.plan.targets[:3]:
         site.fleet.kill(f"target-{target.name}")
         site.fleet.kill(target.name)
@@ -129,13 +135,13 @@
             "rollout_stopped" in event
             for event in site.fleet.status().get("events", [])
         ),
-        "the rollout stops",
+        "the rollout is stopped",
     )
     assert len(site.fleet.serving("1")) == 3
-    assert broken.name in site.fleet.ctl("status").stdout
+    assert first_target.name in site.fleet.ctl("status").stdout
 
 
-def test_drained_target_gets_no_new_work(site):
+def test_drained_target_receives_no_requests(site):
     site.deploy("1")
     with site.load(once_share=0.0) as load:
         time.sleep(0.5)
@@ -143,13 +149,13 @@
         time.sleep(2.0)
         drained_at = time.time()
         time.sleep(1.0)
-    load.check_promises()
+    load.assert_guarantees()
     journal = site.fleet.journal_path("drafting-2").read_text().splitlines()
     runs = [json.loads(line) for line in journal if '"run"' in line]
     assert [run for run in runs if run["at"] > drained_at] == []
 
 
-def test_caller_that_leaves_cancels_the_run_at_the_target(site):
+def test_disconnected_caller_cancels_run_at_target(site):
     site.deploy("1")
     host, port = site.fleet.entry_urls()[0].removeprefix("http://").split(":")
     body = json.dumps(
@@ -165,19 +171,19 @@
         time.sleep(0.5)
 
     def cancelled():
-        ends = [
+        end_events = [
             event
             for target in site.fleet.plan.targets
             for event in read_journal(site.fleet.journal_path(target.name))
             if event["event"] == "ended" and event["request_id"] == "leaver"
         ]
-        return [event["how"] for event in ends] == ["cancelled"]
+        return [event["how"] for event in end_events] == ["cancelled"]
 
-    # Undisturbed it would run for ten seconds.
+    # Without cancellation the run takes ten seconds.
     site.fleet.wait_for(cancelled, "the run is cancelled", 5)
 
 
-def test_racing_operators_one_wins(site):
+def test_of_concurrent_operator_writes_one_is_accepted(site):
     version = site.write_version("1")
     assert site.apply(version).returncode == 0
     path = str(site.fleet.folder / "record-1.json")
--- a/damaskcroft/standins/tests/test_rig.py
+++ b/damaskcroft/standins/tests/test_rig.py
@@ -1,10 +1,10 @@
-"""The harness itself: fleets beside each other, and processes that can't start.
+"""Tests of the harness: concurrent fleets, and processes that fail to start.
 
-What happened: of 48 runs of two tests, five at once, in two a process could
-not bind its port (`Errno 98`). The harness had let the port go before it was
-bound, and another fleet had taken it. The fleet ran on without that process,
-and the test waited 60 s for what only that process could have brought: the
-very sign of an accepted version that reaches no target.
+They guard against port collisions: in 2 of 48 runs, five at once, a process
+could not bind its port (`Errno 98`). The harness had released the port before
+the process bound it, and another fleet had taken it in between. The fleet ran
+on without that process, and the test waited 60 s for work of that process, with
+the same symptom as an accepted version that reaches no target.
 """
 
 import contextlib
@@ -18,7 +18,7 @@
 from damaskcroft.standins.tests.conftest import targets
 
 
-def test_two_owners_never_hold_one_network():
+def test_two_owners_never_reserve_the_same_network():
     networks = [own_network.__wrapped__() for _ in range(20)]
     assert len({network.prefix for network in networks}) == len(networks)
 
@@ -41,8 +41,8 @@
     host, _, port = fleet.http_by_name[name].rpartition(":")
     began_at = time.monotonic()
     with contextlib.ExitStack() as stack:
-        taken = stack.enter_context(socket.socket())
-        taken.bind((host, int(port)))
+        occupying_socket = stack.enter_context(socket.socket())
+        occupying_socket.bind((host, int(port)))
         stack.callback(fleet.stop)
         with pytest.raises(ProcessEndedError) as raised:
             fleet.start()
--- a/damaskcroft/standins/tests/test_stopping_entry.py
+++ b/damaskcroft/standins/tests/test_stopping_entry.py
@@ -1,4 +1,7 @@
-"""Callers of every habit while an entry stops, which isn't always run."""
+"""Callers of every connection pattern while an entry stops.
+
+The entry is suspended repeatedly, as on a busy machine.
+"""
 
 import asyncio
 import collections
@@ -15,29 +18,31 @@
 from damaskcroft.standins.tests.conftest import MODEL
 
 EACH = 20
-OVER_S = 3.2
-PAUSED_OVER_S = 1.5
+SENDING_PERIOD_S = 3.2
+SUSPENSION_PERIOD_S = 1.5
 BODY = json.dumps({"model": MODEL, "prompt": "p", "max_tokens": 2}).encode()
 
 
-def headers_of(_):
+def headers_for(_):
     return {"Content-Type": "application/json", "Damask-Customer": "notary"}
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_no_request_is_lost_while_an_entry_stops(site, seed):
-    # Against requests that get a reset or no byte when an entry ends.
+    # Guards against requests that get a reset or no byte when an entry ends.
     site.deploy("1")
 
     async def scenario():
-        template = RequestTemplate("POST", "/v1/completions", headers_of, BODY)
+        template = RequestTemplate("POST", "/v1/completions", headers_for, BODY)
         address = site.fleet.http_by_name["entry-1"]
         callers = StoppingCallers(address, template, EACH, seed)
-        async with callers.sending(OVER_S) as outcomes:
+        async with callers.sending(SENDING_PERIOD_S) as outcomes:
             stopping = asyncio.create_task(
                 asyncio.to_thread(site.fleet.terminate, "entry-1")
             )
-            await pauses(site.fleet.processes_by_name["entry-1"], seed)
+            await suspend_repeatedly(
+                site.fleet.processes_by_name["entry-1"], seed
+            )
         assert await stopping == 0
         return outcomes
 
@@ -47,11 +52,11 @@
     assert lost == []
 
 
-async def pauses(process, seed):
-    """Stops and continues a process, as a busy machine does."""
+async def suspend_repeatedly(process, seed):
+    """Suspends and resumes a process at random, as a busy machine does."""
     rng = random.Random(seed)
     loop = asyncio.get_running_loop()
-    until = loop.time() + PAUSED_OVER_S
+    until = loop.time() + SUSPENSION_PERIOD_S
     while loop.time() < until:
         process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(rng.choice((0.03, 0.1, 0.3)))
--- a/damaskcroft/standins/virtual_links.py
+++ b/damaskcroft/standins/virtual_links.py
@@ -1,9 +1,10 @@
-"""Agents that share a version over links with a rate, in virtual time.
+"""A simulation of agents that share a version over rate-limited links.
 
-The agents' own parts run unchanged: bursts, windows, pacers, stores. Links are
-queues that serve first come, first served, a message at a time; connections
-and their buffers are left out. Good for where a burst's time goes and for what
-it does when readers, links or the origin fail; not for processor time.
+It runs in virtual time. The agents' bursts, windows, pacers and stores are the
+real ones. A link is a FIFO queue that carries one message at a time;
+connections and their buffers are not modelled. The simulation shows how long
+the parts of a burst take and how it behaves when agents, links or the origin
+fail; it does not measure processor time.
 """
 
 import asyncio
@@ -38,9 +39,9 @@
 
 __all__ = ["Fleet", "FleetShape", "Link", "LinkedAgent"]
 
-# What a message carries beside its payload: frames and packet heads.
+# Frame and packet headers of a message.
 _OVERHEAD_BYTES = 120
-# An origin serves its connections in turn, by parts of this size.
+# The origin serves its connections in turn, in parts of this size.
 _ORIGIN_PART_BYTES = 8192
 _ORIGIN = "origin"
 _MODEL, _VERSION = "m", "2"
@@ -50,10 +51,11 @@
 
 
 class Link:
-    """One direction of a link: first come, first served.
+    """One direction of a link, with a FIFO queue.
 
     Attributes:
-        rate_bytes_s: may change; what is queued already keeps its time.
+        rate_bytes_s: rate of the link; a change does not affect messages that
+            are queued already.
     """
 
     __slots__ = ("_free_at", "rate_bytes_s")
@@ -64,13 +66,13 @@
         self._free_at = 0.0
 
     def reserve(self, size_bytes: int) -> float:
-        """When so much has passed that begins to queue now."""
+        """Queues a message; returns the time at which it has passed."""
         start = max(self._free_at, now_s())
         self._free_at = start + size_bytes / self.rate_bytes_s
         return self._free_at
 
     def pause(self, seconds: float) -> None:
-        """Lets nothing pass for a while."""
+        """Blocks the link for a duration."""
         self._free_at = max(self._free_at, now_s()) + seconds
 
 
@@ -79,15 +81,17 @@
     """Sizes of a fleet; links in Mbit/s, delays in seconds.
 
     Attributes:
-        agents_by_region: how many stand in each.
-        agent_mbps: each way of an agent's link.
-        origin_mbps: what the origin gives; it stands in the first region.
-        between_mbps: each way between two regions.
-        delay_s: one way, also within a region.
-        chunks: of the version.
-        chunk_bytes: of each.
-        hears_within_s: agents hear of the version at random within this.
-        options: bounds of each burst.
+        agents_by_region: number of agents in each region.
+        agent_mbps: rate of an agent's link, each way.
+        origin_mbps: rate of the origin's link; the origin is in the first
+            region.
+        between_mbps: rate between two regions, each way.
+        delay_s: one-way delay, also within a region.
+        chunks: number of chunks of the version.
+        chunk_bytes: size of a chunk.
+        hears_within_s: interval from which the time is drawn at which an agent
+            learns of the version.
+        options: options of each burst.
     """
 
     agents_by_region: tuple[int, ...] = (5, 5, 4)
@@ -114,7 +118,7 @@
         self.up_by_address: dict[str, Link] = {}
         self.down_by_address: dict[str, Link] = {}
         self.region_by_address: dict[str, str] = {}
-        self._between: dict[tuple[str, str], Link] = {}
+        self._links_between_regions: dict[tuple[str, str], Link] = {}
 
     def join(self, address: str, region: str, mbps: float) -> None:
         self.up_by_address[address] = Link(mbps)
@@ -124,20 +128,20 @@
     def send(
         self, sender: str, receiver: str, size: int, arrived: Callable[[], None]
     ) -> None:
-        """Lets a message pass all links on its way, one after another."""
+        """Sends a message over all links of its path, one after another."""
         regions = (
             self.region_by_address[sender],
             self.region_by_address[receiver],
         )
         links = [self.up_by_address[sender], self.down_by_address[receiver]]
         if regions[0] != regions[1]:
-            between = self._between.setdefault(
+            link_between_regions = self._links_between_regions.setdefault(
                 regions, Link(self._shape.between_mbps)
             )
-            links.insert(1, between)
-        self._pass(links, size + _OVERHEAD_BYTES, arrived)
+            links.insert(1, link_between_regions)
+        self._pass_links(links, size + _OVERHEAD_BYTES, arrived)
 
-    def _pass(
+    def _pass_links(
         self, links: list[Link], size: int, arrived: Callable[[], None]
     ) -> None:
         loop = asyncio.get_running_loop()
@@ -145,38 +149,38 @@
             loop.call_later(self._shape.delay_s, arrived)
             return
         passed_at = links[0].reserve(size)
-        loop.call_at(passed_at, self._pass, links[1:], size, arrived)
+        loop.call_at(passed_at, self._pass_links, links[1:], size, arrived)
 
 
-class _End:
-    """One end of a stream between two agents."""
+class _StreamEnd:
+    """One end of a bidirectional stream between two agents."""
 
-    def __init__(self, network: _Network, here: str, there: str):
+    def __init__(self, network: _Network, local: str, remote: str):
         self._network = network
-        self._here, self._there = here, there
-        self._got: asyncio.Queue[Any] = asyncio.Queue()
-        self.other: _End
-        self.ended: Callable[[], None] = lambda: None
+        self._local, self._remote = local, remote
+        self._received: asyncio.Queue[Any] = asyncio.Queue()
+        self.other: _StreamEnd
+        self.on_cancel: Callable[[], None] = lambda: None
 
     async def send_message(self, message: Any) -> None:
         self._network.send(
-            self._here,
-            self._there,
+            self._local,
+            self._remote,
             message.ByteSize(),
-            lambda: self.other._got.put_nowait(message),
+            lambda: self.other._received.put_nowait(message),
         )
 
     async def recv_message(self) -> Any:
-        return await self._got.get()
+        return await self._received.get()
 
     async def cancel(self) -> None:
         self._network.send(
-            self._here, self._there, 0, lambda: self.other.ended()
+            self._local, self._remote, 0, lambda: self.other.on_cancel()
         )
 
 
 class _LinkedPeers(GrpcPeerSource):
-    """Peers asked over simulated links."""
+    """Fetches chunks from peers over simulated links."""
 
     def __init__(self, fleet: "Fleet", own: str):
         super().__init__(ChannelPool(Keys(None, None)), _STALL_S)
@@ -185,30 +189,30 @@
 
     @contextlib.asynccontextmanager
     async def _opened(self, address: str) -> AsyncIterator[Any]:
-        here = _End(self._fleet.network, self._own, address)
-        there = _End(self._fleet.network, address, self._own)
-        here.other, there.other = there, here
+        local = _StreamEnd(self._fleet.network, self._own, address)
+        remote = _StreamEnd(self._fleet.network, address, self._own)
+        local.other, remote.other = remote, local
         server = self._fleet.agents_by_address[address].server
-        serving = asyncio.create_task(_serve(server, there))
+        serving = asyncio.create_task(_serve_stream(server, remote))
         self._fleet.serving.add(serving)
         serving.add_done_callback(self._fleet.serving.discard)
-        there.ended = lambda: _cancel(serving)
+        remote.on_cancel = lambda: _cancel(serving)
         try:
-            yield here
+            yield local
         finally:
-            await here.cancel()
+            await local.cancel()
 
     async def exchange(
         self, address: str, rumour: agent_pb2.Rumour
     ) -> agent_pb2.Rumour | None:
-        """See PeerSource."""
+        """Sends a gossip message to a peer and returns its reply."""
         network, arrived = self._fleet.network, asyncio.Event()
         network.send(self._own, address, rumour.ByteSize(), arrived.set)
         await arrived.wait()
         server = self._fleet.agents_by_address[address].server
-        reply, came = server.exchange(rumour), asyncio.Event()
-        network.send(address, self._own, reply.ByteSize(), came.set)
-        await came.wait()
+        reply, reply_arrived = server.exchange(rumour), asyncio.Event()
+        network.send(address, self._own, reply.ByteSize(), reply_arrived.set)
+        await reply_arrived.wait()
         return reply
 
 
@@ -216,14 +220,14 @@
     task.cancel()
 
 
-async def _serve(server: ChunkServer, end: _End) -> None:
-    ask = await end.recv_message()
+async def _serve_stream(server: ChunkServer, end: _StreamEnd) -> None:
+    chunk_request = await end.recv_message()
     with contextlib.suppress(asyncio.CancelledError, TimeoutError):
-        await server.send_chunk(ask.request, end)
+        await server.send_chunk(chunk_request.request, end)
 
 
 class _LinkedOrigin:
-    """The origin as one agent reads it."""
+    """The origin as seen by one agent."""
 
     name = _ORIGIN
     closed_for_s = 0.0
@@ -235,19 +239,19 @@
     async def fetch_chunk(
         self, path: str, manifest: records_pb2.Manifest, index: int
     ) -> OutsideData | OutsideFailed:
-        # A connection each time, then the request.
+        # The handshake of a new connection, then the request.
         await asyncio.sleep(3 * self._fleet.shape.delay_s)
-        left = manifest.chunks[index].size_bytes
-        while left > 0:
+        remaining_bytes = manifest.chunks[index].size_bytes
+        while remaining_bytes > 0:
             if self._fleet.is_origin_away:
                 return OutsideFailed("unreachable", 0.0)
-            part = min(left, _ORIGIN_PART_BYTES)
-            await self._got(part)
-            left -= part
+            part = min(remaining_bytes, _ORIGIN_PART_BYTES)
+            await self._transfer(part)
+            remaining_bytes -= part
         self._fleet.read_outside.append((now_s(), index))
         return OutsideData(self._fleet.chunks[index])
 
-    async def _got(self, size: int) -> None:
+    async def _transfer(self, size: int) -> None:
         arrived = asyncio.get_running_loop().create_future()
 
         def done() -> None:
@@ -262,12 +266,12 @@
     """An agent with its own burst, store and server.
 
     Attributes:
-        version: what it holds; None before it has heard of it.
-        whole_at: when it held everything; None before.
+        version: the staged version; None before the agent learns of it.
+        whole_at: time at which the version was complete; None before.
     """
 
     def __init__(self, fleet: "Fleet", participant: Participant):
-        """Creates an agent that has not heard of any version."""
+        """Creates an agent without any version."""
         self._fleet = fleet
         self.participant = participant
         self.address = participant.address
@@ -287,7 +291,7 @@
         self.whole_at: float | None = None
 
     async def bring(self) -> None:
-        """Gets the version whole."""
+        """Fetches the complete version."""
         self.version = self.store.open_version(self._fleet.manifest, set())
         burst = Burst(
             self.participant.id,
@@ -313,7 +317,7 @@
         self.whole_at = now_s()
 
     def holds_from_the_start(self) -> None:
-        """Lets it hold the version whole already."""
+        """Writes the complete version into the store, without a transfer."""
         self.version = self.store.open_version(self._fleet.manifest, set())
         for index, data in enumerate(self._fleet.chunks):
             self.version.write_chunk(index, data)
@@ -321,16 +325,16 @@
 
 
 class Fleet:
-    """All agents of a service and their links.
+    """A simulated fleet: agents, the origin and their links.
 
     Attributes:
-        is_origin_away: whether reads of the origin fail.
-        read_outside: each chunk that was read there, with its time.
-        serving: tasks of agents that answer others.
+        is_origin_away: whether reads from the origin fail.
+        read_outside: time and index of each chunk read from the origin.
+        serving: running tasks of agents that serve chunks to peers.
     """
 
     def __init__(self, shape: FleetShape, seed: int = 1):
-        """Creates agents that hold nothing."""
+        """Creates agents without any version."""
         self.shape = shape
         self.rng = random.Random(seed)
         self.chunks = [
@@ -349,15 +353,15 @@
         self.agents_by_address: dict[str, LinkedAgent] = {}
         for region, count in enumerate(shape.agents_by_region):
             for number in range(count):
-                self._join(f"10.{region}.0.{number}:1", f"r{region}")
+                self._add_agent(f"10.{region}.0.{number}:1", f"r{region}")
 
-    def _join(self, address: str, region: str) -> None:
+    def _add_agent(self, address: str, region: str) -> None:
         self.network.join(address, region, self.shape.agent_mbps)
         participant = Participant(address, address, region)
         self.agents_by_address[address] = LinkedAgent(self, participant)
 
     async def bring_all(self, within_s: float) -> None:
-        """Lets every agent without the version get it, as far as it comes."""
+        """Runs the burst of every agent without the version, up to a limit."""
         tasks = [
             asyncio.create_task(self._bring(agent))
             for agent in self.agents_by_address.values()
@@ -374,23 +378,23 @@
         await agent.bring()
 
     def distinct_read_by(self, seconds: float) -> int:
-        """Chunks that were read from outside until then, each counted once."""
+        """Counts the distinct chunks read from the origin up to a time."""
         return len({i for at, i in self.read_outside if at <= seconds})
 
     def whole_times(self) -> list[float]:
-        """When agents held everything, in order; those that never did last."""
+        """Returns sorted completion times; infinity for incomplete agents."""
         return sorted(
             agent.whole_at if agent.whole_at is not None else float("inf")
             for agent in self.agents_by_address.values()
         )
 
     def set_rate(self, address: str, mbps: float) -> None:
-        """Changes both ways of an agent's link."""
+        """Changes the rate of an agent's link in both directions."""
         rate = bytes_per_s(mbps)
         self.network.up_by_address[address].rate_bytes_s = rate
         self.network.down_by_address[address].rate_bytes_s = rate
 
     def freeze(self, address: str, seconds: float) -> None:
-        """Lets nothing come from an agent or to it for a while."""
+        """Blocks the link of an agent in both directions for a duration."""
         self.network.up_by_address[address].pause(seconds)
         self.network.down_by_address[address].pause(seconds)
--- a/damaskcroft/standins/virtual_time.py
+++ b/damaskcroft/standins/virtual_time.py
@@ -1,6 +1,6 @@
-"""An event loop whose clock jumps ahead when nothing is left to do.
+"""An event loop whose clock advances to the next timer instead of sleeping.
 
-Tests run hours of timeouts in moments, in the same order on every run.
+Tests run hours of timeouts in a moment, in the same order on every run.
 """
 
 import asyncio
@@ -11,8 +11,8 @@
 _T = TypeVar("_T")
 
 
-class _JumpingSelector(selectors.DefaultSelector):  # type: ignore[misc,valid-type]
-    """Never sleeps; moves its loop's clock on instead."""
+class _TimeAdvancingSelector(selectors.DefaultSelector):  # type: ignore[misc,valid-type]
+    """Advances the clock of its loop by the timeout instead of sleeping."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -20,27 +20,29 @@
 
     def select(self, timeout: float | None = None) -> list:
         if timeout is None:
-            raise RuntimeError("every task waits for something outside")
+            raise RuntimeError(
+                "deadlock: every task waits for an event and no timer is set"
+            )
         self.now_s += max(0.0, timeout)
         return super().select(0)
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """A loop for code that touches no real sockets and no threads."""
+    """A loop for code that uses neither real sockets nor threads."""
 
     def __init__(self) -> None:
-        """Starts the clock at 0."""
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        """Sets the clock to 0."""
+        self._time_selector = _TimeAdvancingSelector()
+        super().__init__(self._time_selector)
 
     def time(self) -> float:
         """The virtual time in seconds."""
-        return self._jumping.now_s
+        return self._time_selector.now_s
 
     def run(self, work: Coroutine[Any, Any, _T]) -> _T:
-        """Runs a coroutine to its end."""
+        """Runs a coroutine to completion."""
         return self.run_until_complete(work)
 
     def pass_time(self, seconds: float) -> None:
-        """Lets everything run for some virtual time."""
+        """Runs all scheduled work for a duration of virtual time."""
         self.run_until_complete(asyncio.sleep(seconds))
