--- a/damaskcroft/entry/_calls.py
+++ b/damaskcroft/entry/_calls.py
@@ -187,7 +187,7 @@
     except (ValueError, RecursionError):
         return Refusal("invalid_json", 400, Ran.NOT_RUN)
     if not isinstance(document, dict):
-        return Refusal("invalid_json", 400, Ran.NOT_RUN, detail="not an object")
+        return Refusal("invalid_json", 400, Ran.NOT_RUN, detail="no object")
     return document
 
 
--- a/damaskcroft/fleet/_validation.py
+++ b/damaskcroft/fleet/_validation.py
@@ -12,7 +12,7 @@
 ) -> Iterator[str]:
     """Describes the faults of a configuration; yields none if it is valid."""
     if configuration.version < 1:
-        yield "configuration version must be at least 1"
+        yield "the version is below 1"
     yield from _route_faults(configuration)
     yield from _key_faults(configuration)
 
@@ -23,19 +23,19 @@
     for route in configuration.routes:
         location = (route.host, route.path_prefix)
         if location in locations:
-            yield f"route {route.name}: another route has this host and prefix"
+            yield f"route {route.name}: another has its host and prefix"
         locations.add(location)
         if route.timeout_ms <= 0:
-            yield f"route {route.name}: the timeout must be positive"
+            yield f"route {route.name}: no time"
         if not route.path_prefix.startswith("/"):
-            yield f"route {route.name}: the path prefix must begin with a slash"
+            yield f"route {route.name}: its prefix begins with no slash"
         for share in route.shares:
             if share.service not in services:
                 yield f"route {route.name}: unknown service {share.service}"
         if any(share.weight < 0 for share in route.shares):
-            yield f"route {route.name}: the weight of a service is negative"
+            yield f"route {route.name}: a weight is negative"
         if sum(share.weight for share in route.shares) <= 0:
-            yield f"route {route.name}: no service has a positive weight"
+            yield f"route {route.name}: no service has a weight"
 
 
 def _key_faults(configuration: fleet_pb2.Configuration) -> Iterator[str]:
