--- a/damaskcroft/_later.py
+++ b/damaskcroft/_lazy_imports.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-__all__ = ["imported_later"]
+__all__ = ["lazy_imports"]
 
 
-def imported_later(
+def lazy_imports(
     package: str, module_by_name: Mapping[str, str]
 ) -> Callable[[str], Any]:
     """Returns a `__getattr__` for a package.
--- a/damaskcroft/agent/__init__.py
+++ b/damaskcroft/agent/__init__.py
@@ -5,7 +5,7 @@
 from damaskcroft.agent._fleet_agent import FleetAgent
 from damaskcroft.agent._fleet_stager import FleetStager
 from damaskcroft.agent._fleet_switcher import FleetSwitcher
-from damaskcroft.agent._weights_guard import guarded_goals
+from damaskcroft.agent._weights_guard import guarded_versions
 
 __all__ = [
     "ChunkServer",
@@ -13,5 +13,5 @@
     "FleetAgent",
     "FleetStager",
     "FleetSwitcher",
-    "guarded_goals",
+    "guarded_versions",
 ]
--- a/damaskcroft/agent/_activation.py
+++ b/damaskcroft/agent/_activation.py
@@ -103,12 +103,12 @@
             while True:
                 assignment = await self._next_assignment()
                 self.begin()  # type: ignore[attr-defined]
-                self._client.report_soon()
+                self._client.renew_now()
                 done = await self._carry_out(assignment)
                 if done:
                     self._settled_fencing = assignment.fencing
                     self.held_up.clear_reason()
-                self._client.report_soon()
+                self._client.renew_now()
 
     async def _next_assignment(self) -> control_pb2.Assignment:
         while True:
@@ -161,7 +161,7 @@
                 self.held_up.clear_reason()
             return state
         self.held_up.set_reason(control_pb2.HELD_UP_TARGET_UNREACHABLE)
-        self._client.report_soon()
+        self._client.renew_now()
         await asyncio.sleep(_RETRY_S)
         return None
 
@@ -189,7 +189,7 @@
     async def _shut_and_drain(self) -> None:
         """Closes the gate and waits until no request is running."""
         self._gate.shut()
-        self._client.report_soon()
+        self._client.renew_now()
         with self.held_up.delayed_by(control_pb2.HELD_UP_REQUESTS_UNENDED):
             await self._gate.wait_idle()
 
--- a/damaskcroft/agent/_fleet_agent.py
+++ b/damaskcroft/agent/_fleet_agent.py
@@ -32,7 +32,7 @@
         channels: channels to control nodes.
         min_part_s: returns the recent minimum transfer time of a part of
             weights.
-        guarded_goals: returns the versions for `AgentState.guarded`.
+        guarded_versions: returns the versions for `AgentState.guarded`.
     """
 
     def __init__(
@@ -41,10 +41,10 @@
         view: FleetView,
         channels: ChannelPool,
         min_part_s: Callable[[], float] = lambda: 0.0,
-        guarded_goals: Callable[[], list[fleet_pb2.WeightGoal]] = list,
+        guarded_versions: Callable[[], list[fleet_pb2.WeightGoal]] = list,
     ):
         """Starts with a state that has not been announced."""
-        self._guarded_goals = guarded_goals
+        self._guarded_goals = guarded_versions
         self._announced_at = -math.inf
         # Announcements in flight to control nodes.
         self._announcing: set[asyncio.Task] = set()
@@ -62,7 +62,7 @@
             started=time.time_ns() // _NS_IN_MS,
         )
 
-    def known_state(self) -> fleet_pb2.AgentState | None:
+    def announced_state(self) -> fleet_pb2.AgentState | None:
         """Returns the state; None before the target's first report.
 
         An agent that has just started must not announce that its target holds
--- a/damaskcroft/agent/_fleet_stager.py
+++ b/damaskcroft/agent/_fleet_stager.py
@@ -24,7 +24,7 @@
 from damaskcroft.engines import EngineUnreachable, StagedEngine
 from damaskcroft.fleet import FleetView
 from damaskcroft.observe import log_event, metrics
-from damaskcroft.tasks import cancelled, end_all
+from damaskcroft.tasks import cancel_all, cancelled
 from damaskcroft.weights import (
     Burst,
     BurstCounts,
@@ -125,7 +125,7 @@
         self._report_chosen(chosen)
         try:
             while True:
-                seen = self._view.wishes.count
+                seen = self._view.desired_changed.count
                 found = self.version_to_stage()
                 if found != chosen or self._must_restage:
                     chosen = found
@@ -142,7 +142,7 @@
                 # at short intervals; they count only until a desired version
                 # is known.
                 poll_s = _RECONSIDER_S if chosen else _POLL_S
-                await self._view.wishes.wait(seen, poll_s)
+                await self._view.desired_changed.wait(seen, poll_s)
         finally:
             await cancelled(work)
             await cancelled(prefetching)
@@ -203,7 +203,9 @@
             return True
         for index in range(len(version.held)):
             digest = version.manifest.chunks[index].digest
-            data = await self._engine.get_piece(version.manifest.model, index)
+            data = await self._engine.fetch_staged_piece(
+                version.manifest.model, index
+            )
             if data is not None and hashlib.sha256(data).digest() == digest:
                 continue
             log_event("staged_piece_spoilt", index=index, lost=data is None)
@@ -228,12 +230,14 @@
         self._must_restage = self.staged is not None
         self.staged = None
         # This wakes `run`.
-        self._view.wishes.give()
+        self._view.desired_changed.give()
 
     def _report_chosen(self, chosen: ModelVersion | None) -> None:
         """Logs and exports a changed version to stage, including none."""
         metrics.WEIGHTS_WANTED.set(chosen.version if chosen else 0)
-        desired = chosen and self._view.goal_by_model.get(chosen.model)
+        desired = chosen and self._view.desired_version_by_model.get(
+            chosen.model
+        )
         log_event(
             "weights_wanted",
             service=self._own.state.service,
@@ -373,10 +377,10 @@
             await fetching
             await putting
         finally:
-            await end_all((planning, putting, confirming, fetching))
+            await cancel_all((planning, putting, confirming, fetching))
 
     async def _fetch_whole(self, burst: Burst, version: StagedVersion) -> None:
-        while not version.verify_whole():
+        while not version.verify_all_chunks():
             await burst.run(version)
 
     def _source(self) -> OutsideSource:
@@ -402,7 +406,9 @@
         for index, held in enumerate(version.held):
             if held:
                 continue
-            data = await self._engine.get_piece(version.manifest.model, index)
+            data = await self._engine.fetch_staged_piece(
+                version.manifest.model, index
+            )
             if data is not None and version.write_chunk(index, data):
                 self._put_indexes.add(index)
                 self.counts.local_bytes += len(data)
@@ -436,7 +442,7 @@
     async def _put_piece(self, version: StagedVersion, index: int) -> bool:
         data = version.read_chunk(index)
         async with self.pieces_lock:
-            return await self._engine.put_piece(
+            return await self._engine.stage_piece(
                 version.manifest.model, index, data
             )
 
@@ -468,4 +474,4 @@
             Participant(agent.address, agent.address, agent.region)
             for agent in [*self._live_peers(), own]
         ]
-        burst.plan_with(make_planner(_PLANNER, own.address, participants))
+        burst.set_planner(make_planner(_PLANNER, own.address, participants))
--- a/damaskcroft/agent/_fleet_switcher.py
+++ b/damaskcroft/agent/_fleet_switcher.py
@@ -20,7 +20,7 @@
     OrderAccepted,
     StagedEngine,
 )
-from damaskcroft.fleet import FleetView, may_serve
+from damaskcroft.fleet import FleetView, holds_servable_layers
 from damaskcroft.observe import log_event, metrics
 from damaskcroft.tasks import Signal
 
@@ -64,7 +64,7 @@
         stager: provides the staged version.
         weights_s: time from the announcement of a version until all must
             serve it.
-        link_is_quick: see `WeightsGuard`.
+        is_link_fast: see `WeightsGuard`.
     """
 
     def __init__(
@@ -74,10 +74,10 @@
         engine: StagedEngine,
         stager: FleetStager,
         weights_s: float,
-        link_is_quick: Callable[[], bool] = lambda: False,
+        is_link_fast: Callable[[], bool] = lambda: False,
     ):
         """Subscribes to the updates of the view."""
-        self._guard = WeightsGuard(view, engine, weights_s, link_is_quick)
+        self._guard = WeightsGuard(view, engine, weights_s, is_link_fast)
         self._own = own
         self._view = view
         self._engine = engine
@@ -101,7 +101,7 @@
         delay the drop.
         """
         while True:
-            seen = self._view.wishes.count
+            seen = self._view.desired_changed.count
             due_in_s = self._guard.due_in_s()
             if due_in_s <= 0:
                 report = await self._engine.report()
@@ -111,7 +111,7 @@
                         report, staged.version if staged else 0
                     )
             wait_s = min(max(due_in_s, _GUARD_POLL_S), _GUARD_IDLE_POLL_S)
-            await self._view.wishes.wait(seen, wait_s)
+            await self._view.desired_changed.wait(seen, wait_s)
 
     async def _run_switching(self) -> None:
         while True:
@@ -200,7 +200,7 @@
                 staged.model,
                 staged.version,
                 report.sequence,
-                cut_running=self._may_interrupt(),
+                abort_running=self._may_interrupt(),
             )
         metrics.ORDERS.labels("start", type(order).__name__).inc()
         log_event("ordered", path=staged.path, outcome=order)
@@ -229,7 +229,7 @@
 
     def _may_switch(self, report: EngineReport) -> bool:
         """Returns whether enough other targets serve while this one is out."""
-        if not any(may_serve(part) for part in report.held):
+        if not any(holds_servable_layers(part) for part in report.held):
             return True
         staged = self._stager.staged
         if (
@@ -280,7 +280,7 @@
 
         It is infinite for a version that was not announced.
         """
-        accepted_at_by_version = self._view.goal_since_by_model.get(
+        accepted_at_by_version = self._view.accepted_at_by_model.get(
             staged.model, {}
         )
         accepted_at = accepted_at_by_version.get(staged.version)
--- a/damaskcroft/agent/_held_up.py
+++ b/damaskcroft/agent/_held_up.py
@@ -6,7 +6,7 @@
 
 from damaskcroft._generated import control_pb2
 from damaskcroft.clock import now_s
-from damaskcroft.membership import held_up_word
+from damaskcroft.membership import held_up_reason
 from damaskcroft.observe import log_event, log_warning, metrics
 
 __all__ = ["HeldUp"]
@@ -68,16 +68,16 @@
         while True:
             if reported != self.reason:
                 if reported != control_pb2.HELD_UP_BY_NOTHING:
-                    metrics.ORDER_HELD_UP_S.labels(held_up_word(reported)).set(
-                        0
-                    )
-                    log_event("order_goes_on", reason=held_up_word(reported))
+                    metrics.ORDER_HELD_UP_S.labels(
+                        held_up_reason(reported)
+                    ).set(0)
+                    log_event("order_goes_on", reason=held_up_reason(reported))
                 reported = control_pb2.HELD_UP_BY_NOTHING
                 next_at = 0.0
             for_s = self.duration_s()
             if for_s >= _REPORT_AFTER_S:
                 reported = self.reason
-                word = held_up_word(self.reason)
+                word = held_up_reason(self.reason)
                 metrics.ORDER_HELD_UP_S.labels(word).set(for_s)
                 if now_s() >= next_at:
                     next_at = now_s() + _REPORT_EVERY_S
--- a/damaskcroft/agent/_runs.py
+++ b/damaskcroft/agent/_runs.py
@@ -171,7 +171,7 @@
                 ):
                     # The answer belongs to another request and must never
                     # reach this caller.
-                    metrics.LATE_DROPPED.labels("crossed_at_target").inc()
+                    metrics.ANSWERS_DROPPED.labels("crossed_at_target").inc()
                     yield self._failed_event(agent_pb2.FAILED_TARGET_LOST)
                 case CallStarted():
                     self._limit.record_answer(begun.limit, start, started_at)
--- a/damaskcroft/agent/_staging.py
+++ b/damaskcroft/agent/_staging.py
@@ -161,7 +161,7 @@
         is_complete = False
         while not is_complete:
             await burst.run(version)
-            is_complete = await asyncio.to_thread(version.verify_whole)
+            is_complete = await asyncio.to_thread(version.verify_all_chunks)
         log_event("staged", version=desired.version, chunks=len(version.held))
         async with self.changed:
             self.staged_manifest = desired.manifest
@@ -178,7 +178,7 @@
                 self._own.id, self._own.address, self._own.failure_domain
             )
         )
-        burst.plan_with(
+        burst.set_planner(
             make_planner(self._strategy, self._own.id, members),
             help_share(desired.policy, desired.origin_copies_cap, len(members)),
         )
--- a/damaskcroft/agent/_target_limit.py
+++ b/damaskcroft/agent/_target_limit.py
@@ -4,7 +4,7 @@
 """
 
 from damaskcroft.agent._crashes import TargetWatch
-from damaskcroft.limits import LimitBook, LimitWord, RateLimits
+from damaskcroft.limits import LimitHeader, LimitRegistry, RateLimits
 
 __all__ = ["TargetLimit"]
 
@@ -21,11 +21,11 @@
     def __init__(self, target: TargetWatch):
         """Starts without a limit."""
         self._target = target
-        registry = LimitBook()
+        registry = LimitRegistry()
         self._limits = RateLimits(registry, "", frozenset, registry.take_all)
 
     def record_answer(
-        self, header: LimitWord, start: int, sent_at: float
+        self, header: LimitHeader, start: int, sent_at: float
     ) -> None:
         """Records the rate limit that an answer announces.
 
@@ -38,7 +38,7 @@
 
     def wait_s(self) -> float:
         """Returns the time until a request may be sent; 0 for now."""
-        return self._limits.waits_s(str(self._target.start))
+        return self._limits.time_to_send_s(str(self._target.start))
 
     def consume_token(self) -> None:
         """Consumes a token for a request that is about to be sent."""
--- a/damaskcroft/agent/_version_choice.py
+++ b/damaskcroft/agent/_version_choice.py
@@ -6,7 +6,7 @@
 from damaskcroft._generated import fleet_pb2
 from damaskcroft.agent._fleet_agent import FleetAgent
 from damaskcroft.agent._version_order import CandidateVersion, version_to_fetch
-from damaskcroft.fleet import FleetView, may_serve
+from damaskcroft.fleet import FleetView, holds_servable_layers
 from damaskcroft.units import bytes_per_s
 from damaskcroft.weights import ChunkStore, StagedVersion, weights_path
 
@@ -79,7 +79,7 @@
         return None
 
     def _chosen_version(self, model: str) -> int:
-        desired = self._view.goal_by_model.get(model)
+        desired = self._view.desired_version_by_model.get(model)
         if desired is not None:
             return self._version_to_fetch(desired)
         served = self._view.served_by_model.get(model)
@@ -121,7 +121,7 @@
     ) -> dict[int, StagedVersion]:
         """Returns partly fetched versions between the held and the desired."""
         partial_by_version = {}
-        for version in self._view.goal_since_by_model.get(desired.model, {}):
+        for version in self._view.accepted_at_by_model.get(desired.model, {}):
             path = ModelVersion(desired.model, version).path
             partial = self._store.version_at(path)
             if partial is not None and held < version < desired.version:
@@ -134,7 +134,7 @@
             (
                 part.version
                 for part in self._own.state.held
-                if part.model == model and may_serve(part)
+                if part.model == model and holds_servable_layers(part)
             ),
             default=0,
         )
@@ -145,7 +145,7 @@
             return 0.0
         if not self._weights_s:
             return math.inf
-        return self._view.ends_in_s(model, version, self._weights_s)
+        return self._view.superseded_in_s(model, version, self._weights_s)
 
     def _rate_bytes_s(self) -> float:
         """Estimates a burst's rate at this agent from the links it uses."""
@@ -154,7 +154,9 @@
 
     def newer_than(self, chosen: ModelVersion | None) -> ModelVersion | None:
         """Returns the desired version if the chosen one is older; else None."""
-        desired = chosen and self._view.goal_by_model.get(chosen.model)
+        desired = chosen and self._view.desired_version_by_model.get(
+            chosen.model
+        )
         if not chosen or not desired or desired.version <= chosen.version:
             return None
         return ModelVersion(desired.model, desired.version)
--- a/damaskcroft/agent/_version_order.py
+++ b/damaskcroft/agent/_version_order.py
@@ -27,13 +27,13 @@
     Attributes:
         version: its number.
         missing_bytes: bytes of it that have not been received.
-        ends_in_s: time until requests may begin on newer versions only;
+        superseded_in_s: time until requests may begin on newer versions only;
             infinite for the newest.
     """
 
     version: int
     missing_bytes: int
-    ends_in_s: float = math.inf
+    superseded_in_s: float = math.inf
 
 
 def version_to_fetch(
@@ -73,5 +73,7 @@
         complete_in_s += candidate.missing_bytes / rate_bytes_s
         begins_in_s = complete_in_s + _LOAD_S
         unserved_s += max(0.0, begins_in_s - serves_until_s)
-        serves_until_s = max(serves_until_s, begins_in_s, candidate.ends_in_s)
+        serves_until_s = max(
+            serves_until_s, begins_in_s, candidate.superseded_in_s
+        )
     return unserved_s
--- a/damaskcroft/agent/_weights_guard.py
+++ b/damaskcroft/agent/_weights_guard.py
@@ -15,7 +15,7 @@
 from damaskcroft.fleet import FleetView
 from damaskcroft.observe import log_event, metrics
 
-__all__ = ["WeightsGuard", "guarded_goals"]
+__all__ = ["WeightsGuard", "guarded_versions"]
 
 # Old weights are dropped this long before the time from which requests must
 # begin on newer ones, because a request received earlier may wait that long in
@@ -31,7 +31,7 @@
 _RESTART_S = 3.0
 
 
-def guarded_goals(
+def guarded_versions(
     view: FleetView, service: str, weights_s: float
 ) -> list[fleet_pb2.WeightGoal]:
     """Returns the newest versions that an agent can guard at its target.
@@ -65,7 +65,7 @@
 
 
 def _newest_of_known_age(view: FleetView, model: str) -> int:
-    accepted_at_by_version = view.goal_since_by_model.get(model, {})
+    accepted_at_by_version = view.accepted_at_by_model.get(model, {})
     return max(
         (v for v, at in accepted_at_by_version.items() if math.isfinite(at)),
         default=0,
@@ -78,8 +78,8 @@
     Args:
         view: the announced versions and their times.
         engine: the target.
-        weights_s: see `guarded_goals`.
-        link_is_quick: returns whether current measurements show a short delay
+        weights_s: see `guarded_versions`.
+        is_link_fast: returns whether current measurements show a short delay
             of the link; without measurements it returns False.
     """
 
@@ -90,13 +90,13 @@
         view: FleetView,
         engine: StagedEngine,
         weights_s: float,
-        link_is_quick: Callable[[], bool],
+        is_link_fast: Callable[[], bool],
     ):
         """Starts before the first report of the target."""
         self._view = view
         self._engine = engine
         self._weights_s = weights_s
-        self._link_is_quick = link_is_quick
+        self._link_is_quick = is_link_fast
         # Weights that the target held in its last report.
         self._held: tuple[fleet_pb2.HeldLayers, ...] = ()
 
@@ -198,4 +198,6 @@
         """
         if not self._weights_s:
             return math.inf
-        return self._view.ends_in_s(part.model, part.version, self._weights_s)
+        return self._view.superseded_in_s(
+            part.model, part.version, self._weights_s
+        )
--- a/damaskcroft/agent/main.py
+++ b/damaskcroft/agent/main.py
@@ -33,9 +33,9 @@
 from damaskcroft.rpc import (
     ChannelPool,
     Keys,
-    grpc_served,
-    http_served,
     run_daemon,
+    serve_grpc,
+    serve_http,
     stop_event,
 )
 from damaskcroft.tasks import Work, background
@@ -132,8 +132,8 @@
             ChunkService(self._chunks),
         ]
         async with (
-            grpc_served(process.listen, services, self._keys),
-            http_served(
+            serve_grpc(process.listen, services, self._keys),
+            serve_http(
                 process.http_listen, [Route("/readyz", self._ready)]
             ) as face,
         ):
@@ -144,7 +144,7 @@
             )
             async with background(*self._work()):
                 await stop.wait()
-                face.give_notice()
+                face.announce_shutdown()
                 await self._drain()
         await self._close()
 
@@ -166,7 +166,7 @@
     async def _drain(self) -> None:
         """Refuses new requests and lets the running ones end."""
         self._gate.draining = True
-        self._client.report_soon()
+        self._client.renew_now()
         log_event("draining", outstanding=self._gate.outstanding)
         await asyncio.sleep(_DRAIN_NOTICE_S)
         try:
@@ -194,7 +194,7 @@
             if draining != self._gate.draining:
                 self._gate.draining = draining
                 log_event("drain_record", draining=draining)
-                self._client.report_soon()
+                self._client.renew_now()
             async with roster.changed:
                 await roster.changed.wait()
 
@@ -202,7 +202,7 @@
         while True:
             async with self._stager.changed:
                 await self._stager.changed.wait()
-            self._client.report_soon()
+            self._client.renew_now()
 
     async def _ready(self, _: Request) -> Response:
         held = self._client.lease.is_held
--- a/damaskcroft/agent/tests/test_activation.py
+++ b/damaskcroft/agent/tests/test_activation.py
@@ -20,7 +20,7 @@
     OrderFailed,
 )
 from damaskcroft.membership import Lease, Roster
-from damaskcroft.tasks import end_all
+from damaskcroft.tasks import cancel_all
 
 MANIFEST = "m" * 64
 
@@ -70,7 +70,7 @@
         self.roster = Roster()
         self.lease = Lease()
 
-    def report_soon(self):
+    def renew_now(self):
         pass
 
 
@@ -120,7 +120,7 @@
 
     world = loop.run(make())
     yield world
-    loop.run(end_all([world.running]))
+    loop.run(cancel_all([world.running]))
 
 
 async def read_duration_s(held_up):
--- a/damaskcroft/agent/tests/test_burst_over_links.py
+++ b/damaskcroft/agent/tests/test_burst_over_links.py
@@ -51,7 +51,7 @@
             fleet = Fleet(shape, seed)
             prepare(fleet)
             acting = asyncio.create_task(carry_out(fleet))
-            await fleet.bring_all(WITHIN_S)
+            await fleet.run_burst(WITHIN_S)
             acting.cancel()
             return fleet
 
@@ -98,7 +98,7 @@
 ):
     """Earlier: 1.1 copies, and the last agent complete after 6.5 s."""
     fleet = simulate(seed)
-    assert fleet.whole_times()[-1] < 6.6
+    assert fleet.completion_times()[-1] < 6.6
     assert len(fleet.read_outside) < 1.35 * fleet.shape.chunks
 
 
@@ -107,7 +107,7 @@
     """Earlier: the last chunk reached the fleet after 2.5 s or later."""
     fleet = simulate(seed, (2.5, fail_origin), (8.5, restore_origin))
     assert fleet.distinct_read_by(2.5) == fleet.shape.chunks
-    assert fleet.whole_times()[-1] < 7.0
+    assert fleet.completion_times()[-1] < 7.0
 
 
 @pytest.mark.parametrize("seed", [1])
@@ -123,7 +123,7 @@
 def test_narrow_links_do_not_delay_other_agents(simulate, seed):
     """Earlier: half of the agents were complete after 12 s."""
     fleet = simulate(seed, (0.01, narrow_two_links))
-    times = fleet.whole_times()
+    times = fleet.completion_times()
     assert middle_of(times) < 7.5
     assert times[-3] < 9.0
 
@@ -140,10 +140,10 @@
     def give_chunks(fleet):
         fleet.set_rate(address(1, 3), 0.95)
         for agent in list(fleet.agents_by_address.values())[:8]:
-            agent.holds_from_the_start()
+            agent.hold_all_chunks()
 
     fleet = simulate(1, (7.0, widen), prepare=give_chunks)
-    assert fleet.whole_times()[-1] < 11.5
+    assert fleet.completion_times()[-1] < 11.5
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -164,7 +164,7 @@
         shape=SLOW_ORIGIN,
     )
     # Half a version is 2.2 s of the origin's link.
-    assert middle_of(fleet.whole_times()) < restored_at + 3.5
+    assert middle_of(fleet.completion_times()) < restored_at + 3.5
     assert len(fleet.read_outside) < 1.35 * fleet.shape.chunks
 
 
@@ -180,7 +180,7 @@
     assert first_at < 0.5
     # A quarter more than the time of an agent's link, plus 0.3 s for the
     # announcement of the version.
-    assert middle_of(fleet.whole_times()) < 1.25 * 5.2 + 0.3
+    assert middle_of(fleet.completion_times()) < 1.25 * 5.2 + 0.3
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -196,5 +196,5 @@
         shape=FEW_AGENTS,
     )
     # Less than half a version is missing.
-    assert middle_of(fleet.whole_times()) < restored_at + 3.5
+    assert middle_of(fleet.completion_times()) < restored_at + 3.5
     assert len(fleet.read_outside) < 1.15 * fleet.shape.chunks
--- a/damaskcroft/agent/tests/test_chunks.py
+++ b/damaskcroft/agent/tests/test_chunks.py
@@ -8,16 +8,16 @@
 
 from damaskcroft._generated import agent_pb2
 from damaskcroft.agent import ChunkServer, ChunkService
-from damaskcroft.rpc import ChannelPool, Keys, grpc_served
+from damaskcroft.rpc import ChannelPool, Keys, serve_grpc
 from damaskcroft.standins.loopback import free_address
 from damaskcroft.weights import (
     BurstCounts,
     GrpcPeerSource,
     MemoryStore,
     Pacer,
+    PeerChunkMissing,
     PeerData,
     PeerFailed,
-    PeerNotYet,
     manifest_of_digests,
 )
 
@@ -41,7 +41,7 @@
     server = ChunkServer(store, Pacer(1e9), uploads, BurstCounts())
     address = free_address()
     channels = ChannelPool(KEYS)
-    async with grpc_served(address, [ChunkService(server)], KEYS):
+    async with serve_grpc(address, [ChunkService(server)], KEYS):
         yield version, chunks, address, GrpcPeerSource(channels, 2.0)
         channels.close()
 
@@ -75,7 +75,7 @@
         async with serving_agent() as (version, chunks, address, source):
             assert isinstance(
                 await source.fetch_chunk(address, chunk_request(version, 3)),
-                PeerNotYet,
+                PeerChunkMissing,
             )
             asking = asyncio.create_task(
                 source.fetch_chunk(
@@ -97,7 +97,7 @@
             outcome = await source.fetch_manifest(address, "", path)
             assert outcome == PeerData(version.content)
             unknown = await source.fetch_manifest(address, "", "m/none")
-            assert isinstance(unknown, PeerNotYet)
+            assert isinstance(unknown, PeerChunkMissing)
 
     asyncio.run(asyncio.wait_for(scenario(), 30))
 
--- a/damaskcroft/agent/tests/test_fleet_agent.py
+++ b/damaskcroft/agent/tests/test_fleet_agent.py
@@ -5,7 +5,7 @@
 from damaskcroft._generated import fleet_grpc, fleet_pb2
 from damaskcroft.agent import FleetAgent
 from damaskcroft.fleet import FleetView
-from damaskcroft.rpc import ChannelPool, Keys, grpc_served
+from damaskcroft.rpc import ChannelPool, Keys, serve_grpc
 from damaskcroft.standins.loopback import free_address
 
 
@@ -81,7 +81,7 @@
         view, control, address = FleetView(), Control(), free_address()
         channels = ChannelPool(Keys(None, None))
         own = FleetAgent(Settings, view, channels)
-        async with grpc_served(address, [control], Keys(None, None)):
+        async with serve_grpc(address, [control], Keys(None, None)):
             await own.announce(fleet_pb2.AGENT_SERVING, [], None)
             assert control.announced == []
             view.apply_update(
@@ -105,7 +105,7 @@
 
     async def scenario():
         view, observer = FleetView(), FleetView()
-        own = FleetAgent(Settings, view, None, guarded_goals=lambda: [goal])
+        own = FleetAgent(Settings, view, None, guarded_versions=lambda: [goal])
 
         async def announce_for(seconds, held):
             for _ in range(int(seconds / 0.2)):
--- a/damaskcroft/agent/tests/test_fleet_stager.py
+++ b/damaskcroft/agent/tests/test_fleet_stager.py
@@ -18,7 +18,7 @@
     OutsideData,
     OutsideFailed,
     Pacer,
-    PeerNotYet,
+    PeerChunkMissing,
     manifest_of_digests,
 )
 
@@ -33,7 +33,7 @@
 
 class FakeOrigin:
     name = "origin"
-    closed_for_s = 0.0
+    backoff_left_s = 0.0
 
     def __init__(self):
         self.manifests = [manifest(CHUNKS)]
@@ -58,7 +58,7 @@
 
 class NoPeers:
     async def fetch_manifest(self, address, digest, path=""):
-        return PeerNotYet()
+        return PeerChunkMissing()
 
 
 class FakeTarget:
@@ -72,10 +72,10 @@
             return EngineUnreachable()
         return EngineReport((), False, 0, 0)
 
-    async def get_piece(self, model, index):
+    async def fetch_staged_piece(self, model, index):
         return self.pieces.get(index)
 
-    async def put_piece(self, model, index, data):
+    async def stage_piece(self, model, index, data):
         self.puts += 1
         self.pieces[index] = data
         return True
@@ -105,7 +105,7 @@
     origin, target = FakeOrigin(), FakeTarget()
     stager = FleetStager(
         FakeOwn(), view, target, MemoryStore(10**6), lambda _: origin,
-        NoPeers(), Pacer(1e9), BurstOptions(in_step=False),
+        NoPeers(), Pacer(1e9), BurstOptions(paced_by_trees=False),
     )  # fmt: skip
     return view, origin, target, stager
 
@@ -204,7 +204,7 @@
         return await fetch(path, expected, index)
 
     origin.fetch_chunk = fetch_first_chunk_last
-    stager._options = BurstOptions(in_step=False, parallel_outside=2)
+    stager._options = BurstOptions(paced_by_trees=False, parallel_outside=2)
     announce_version(loop, view)
     run_for(loop, stager, 1)
     assert sorted(target.pieces) == list(range(1, 8))
@@ -272,7 +272,7 @@
         target.pieces[index] = data
         return True
 
-    target.put_piece = put_and_record
+    target.stage_piece = put_and_record
     newer = [b"n" * 50, *CHUNKS[1:]]
     content = records_pb2.Manifest.FromString(manifest(newer))
     content.version = "3"
@@ -463,7 +463,7 @@
     own.state.held.add(model=MODEL, version=1, end_layer=4)
     stager = FleetStager(
         own, view, target, MemoryStore(10**6), lambda _: origin, NoPeers(),
-        Pacer(1e9), BurstOptions(in_step=False, parallel_outside=1),
+        Pacer(1e9), BurstOptions(paced_by_trees=False, parallel_outside=1),
         WEIGHTS_S,
     )  # fmt: skip
     return view, target, own, stager
--- a/damaskcroft/agent/tests/test_fleet_switcher.py
+++ b/damaskcroft/agent/tests/test_fleet_switcher.py
@@ -7,7 +7,7 @@
 from damaskcroft._generated import fleet_pb2
 from damaskcroft.agent._fleet_switcher import FleetSwitcher
 from damaskcroft.agent._version_choice import ModelVersion
-from damaskcroft.agent._weights_guard import guarded_goals
+from damaskcroft.agent._weights_guard import guarded_versions
 from damaskcroft.engines import EngineReport, OrderAccepted
 from damaskcroft.fleet import FleetView
 from damaskcroft.tasks import cancelled
@@ -45,10 +45,10 @@
     async def report(self):
         return EngineReport(self.held, False, len(self.orders), 3)
 
-    async def start(self, model, version, sequence, *, cut_running):
+    async def start(self, model, version, sequence, *, abort_running):
         assert sequence == len(self.orders)
         self.orders.append((model, version))
-        self.cut = cut_running
+        self.cut = abort_running
         self.held = (NEW,)
         return OrderAccepted()
 
@@ -221,8 +221,8 @@
 
 def test_targets_wait_for_each_other_for_a_recorded_version(loop, view):
     """Such a version has no deadline, so no target switches early."""
-    view.goal_by_model.clear()
-    view.goal_since_by_model.clear()
+    view.desired_version_by_model.clear()
+    view.accepted_at_by_model.clear()
     served = fleet_pb2.ServedVersion(model="m", version=2)
 
     async def record():
@@ -367,7 +367,7 @@
 
 def test_only_models_loaded_in_layers_are_guarded(loop, view):
     async def scenario():
-        assert guarded_goals(view, "s", WEIGHTS_S) == []
+        assert guarded_versions(view, "s", WEIGHTS_S) == []
         engine = fleet_pb2.EngineProfile(
             models=[fleet_pb2.EngineModel(name="m")], layers=4
         )
@@ -376,11 +376,11 @@
             fleet_pb2.Configuration(version=2, services=services)
         )
         second = fleet_pb2.WeightGoal(model="m", version=2)
-        assert guarded_goals(view, "s", WEIGHTS_S) == [second]
-        assert guarded_goals(view, "s", 0.0) == []
-        assert guarded_goals(view, "other", WEIGHTS_S) == []
+        assert guarded_versions(view, "s", WEIGHTS_S) == [second]
+        assert guarded_versions(view, "s", 0.0) == []
+        assert guarded_versions(view, "other", WEIGHTS_S) == []
         ageless = fleet_pb2.WeightGoal(model="m", version=3)
         view.apply_update(fleet_pb2.FleetUpdate(goals=[ageless]))
-        assert guarded_goals(view, "s", WEIGHTS_S) == [second]
+        assert guarded_versions(view, "s", WEIGHTS_S) == [second]
 
     loop.run(scenario())
--- a/damaskcroft/agent/tests/test_fuzz_orders.py
+++ b/damaskcroft/agent/tests/test_fuzz_orders.py
@@ -121,7 +121,7 @@
         self.lease = lease
         self.roster = Roster()
 
-    def report_soon(self):
+    def renew_now(self):
         pass
 
 
--- a/damaskcroft/agent/tests/test_guard_in_time.py
+++ b/damaskcroft/agent/tests/test_guard_in_time.py
@@ -71,11 +71,9 @@
         return await super().keep_only(part, sequence)
 
 
-def ordered_after_s(loop, own, view, engine, stager, link_is_quick):
+def ordered_after_s(loop, own, view, engine, stager, is_link_fast):
     """Returns seconds from the announcement until old weights were removed."""
-    switcher = FleetSwitcher(
-        own, view, engine, stager, WEIGHTS_S, link_is_quick
-    )
+    switcher = FleetSwitcher(own, view, engine, stager, WEIGHTS_S, is_link_fast)
 
     async def scenario():
         began_at = now_s()
--- a/damaskcroft/agent/tests/test_guard_price.py
+++ b/damaskcroft/agent/tests/test_guard_price.py
@@ -5,7 +5,7 @@
 from damaskcroft._generated import fleet_pb2
 from damaskcroft.agent._fleet_switcher import FleetSwitcher
 from damaskcroft.agent._version_choice import ModelVersion
-from damaskcroft.agent._weights_guard import WeightsGuard, guarded_goals
+from damaskcroft.agent._weights_guard import WeightsGuard, guarded_versions
 from damaskcroft.agent.tests.test_fleet_switcher import (
     OLD,
     WEIGHTS_S,
@@ -115,7 +115,7 @@
     async def scenario():
         announce_version(view, 5, model="other", age_ms=1000)
         entry_view = make_view("m", "other")
-        apply_states(entry_view, guarded_goals(view, "s", WEIGHTS_S))
+        apply_states(entry_view, guarded_versions(view, "s", WEIGHTS_S))
         announce_version(entry_view, 2, age_ms=5500)
         services = Services(entry_view, {}, WEIGHTS_S)
         assert not services.may_begin("s", "m", "a", 0.0)
@@ -130,7 +130,7 @@
 
     async def scenario():
         announce_version(view, 2, age_ms=6950)
-        apply_states(view, guarded_goals(view, "s", WEIGHTS_S))
+        apply_states(view, guarded_versions(view, "s", WEIGHTS_S))
         services = Services(view, {}, WEIGHTS_S, lambda _: 0.05)
         guard = WeightsGuard(view, engine, WEIGHTS_S, lambda: False)
         assert services.may_begin("s", "m", "a", 0.0)
--- a/damaskcroft/consensus/_leadership_transfer.py
+++ b/damaskcroft/consensus/_leadership_transfer.py
@@ -116,7 +116,9 @@
             async with asyncio.timeout(within_s), self._transfer_lock:
                 await self._transfer()
         done = self._is_another_leader()
-        metrics.HANDOVERS.labels("done" if done else "not_done").inc()
+        metrics.LEADERSHIP_TRANSFERS.labels(
+            "done" if done else "not_done"
+        ).inc()
         log_event(
             "handover",
             done=done,
--- a/damaskcroft/consensus/_replica.py
+++ b/damaskcroft/consensus/_replica.py
@@ -47,7 +47,7 @@
 )
 from damaskcroft.consensus._votes import VoteRefusal, wait_for_majority
 from damaskcroft.observe import log_event, metrics
-from damaskcroft.tasks import Work, end_all, kept_up
+from damaskcroft.tasks import Work, cancel_all, kept_up
 
 # Passes a 10 Mbit/s link within a tenth of the shortest election timeout in
 # use, so that a follower that catches up still receives heartbeats in time.
@@ -206,8 +206,8 @@
         self._spawn(self._applier.run)
         self._spawn(self._make_joiner().run)
 
-    async def hand_over(
-        self, within_s: float, *, for_good: bool = False
+    async def transfer_leadership(
+        self, within_s: float, *, before_shutdown: bool = False
     ) -> bool:
         """Transfers the leadership and continues as a follower.
 
@@ -218,19 +218,19 @@
         Args:
             within_s: maximum duration; if no other replica is the leader by
                 then, this one continues in its role.
-            for_good: whether this replica shuts down soon, so that it accepts
-                no leadership from another one.
+            before_shutdown: whether this replica shuts down soon, so that it
+                accepts no leadership from another one.
 
         Returns:
             Whether another replica is the leader.
         """
-        self._is_shutting_down = self._is_shutting_down or for_good
+        self._is_shutting_down = self._is_shutting_down or before_shutdown
         return await self._leadership_transfer.run(within_s)
 
     async def stop(self) -> None:
         """Ends all tasks; the replica takes no part in elections afterwards."""
         self.has_stopped = True
-        await end_all(self._tasks | self._leader_tasks)
+        await cancel_all(self._tasks | self._leader_tasks)
         self._applier.resolve_as_undecided()
 
     async def propose(self, command: bytes) -> Outcome:
@@ -246,7 +246,7 @@
             self._handle_disk_failure(error)
             return DiskFailed(str(error))
 
-    async def confirm_leader(self, timeout_s: float) -> bool:
+    async def confirm_leadership(self, timeout_s: float) -> bool:
         """Waits until a majority replies to messages sent after this call.
 
         Returns:
--- a/damaskcroft/consensus/tests/test_elections.py
+++ b/damaskcroft/consensus/tests/test_elections.py
@@ -180,7 +180,7 @@
     cut_off(cluster, leader.leader_id)
 
     async def read():
-        reading = asyncio.create_task(leader.confirm_leader(READ_TIMEOUT_S))
+        reading = asyncio.create_task(leader.confirm_leadership(READ_TIMEOUT_S))
         await asyncio.sleep(0.01)
         async with leader._lock:
             leader._become_follower("")
--- a/damaskcroft/consensus/tests/test_ending_leader.py
+++ b/damaskcroft/consensus/tests/test_ending_leader.py
@@ -69,14 +69,16 @@
         wiped = {self.rng.choice(sorted(self.cluster.replicas))}
         self.cluster.lose_power(self.rng.randrange(MAX_SYNCS), wiped)
         if self.end_mode == "term":
-            self.hand_over(leader)
+            self.transfer_leadership(leader)
         if not self.cluster.has_lost_power:
             self.cluster.crash(leader._options.id)
         self.wait_until(lambda: self.cluster.has_lost_power)
         self.loop.pass_time(self.rng.random())
 
-    def hand_over(self, leader):
-        ending = self.loop.create_task(leader.hand_over(MAX_TRANSFER_S))
+    def transfer_leadership(self, leader):
+        ending = self.loop.create_task(
+            leader.transfer_leadership(MAX_TRANSFER_S)
+        )
         while not ending.done() and not self.cluster.has_lost_power:
             self.loop.pass_time(STEP_S)
         self.completed_transfers += ending.done() and ending.result()
--- a/damaskcroft/consensus/tests/test_leadership_transfer.py
+++ b/damaskcroft/consensus/tests/test_leadership_transfer.py
@@ -28,7 +28,7 @@
 
 
 def run_transfer(cluster, leader, within_s=MAX_TRANSFER_S):
-    return cluster.loop.run(leader.hand_over(within_s))
+    return cluster.loop.run(leader.transfer_leadership(within_s))
 
 
 class Writer:
@@ -76,7 +76,7 @@
 
 async def end(cluster, leader):
     """Ends a leader as its process does after SIGTERM."""
-    await leader.hand_over(MAX_TRANSFER_S)
+    await leader.transfer_leadership(MAX_TRANSFER_S)
     await leader.stop()
     member = leader._options.id
     cluster.replicas.pop(member)
@@ -126,7 +126,9 @@
     leader = cluster.leader()
 
     async def propose_meanwhile():
-        handing_over = asyncio.create_task(leader.hand_over(MAX_TRANSFER_S))
+        handing_over = asyncio.create_task(
+            leader.transfer_leadership(MAX_TRANSFER_S)
+        )
         await asyncio.sleep(0)
         return await leader.propose(b"meanwhile"), await handing_over
 
@@ -143,7 +145,7 @@
     async def propose_first():
         proposing = asyncio.create_task(leader.propose(b"before"))
         await asyncio.sleep(0)
-        done = await leader.hand_over(MAX_TRANSFER_S)
+        done = await leader.transfer_leadership(MAX_TRANSFER_S)
         return await proposing, done
 
     outcome, done = loop.run(propose_first())
@@ -221,7 +223,7 @@
     assert isinstance(cluster.write("goes on"), Committed)
     loop.pass_time(1.0)
     assert not loop.run(cluster.confirmed_leaders())
-    assert loop.run(leader.confirm_leader(1.0))
+    assert loop.run(leader.confirm_leadership(1.0))
     loop.run(send_timeout_now(*delayed[0]))
     loop.pass_time(0.3)
     assert cluster.leader().address == delayed[0][0]
@@ -260,7 +262,8 @@
 
     async def twice():
         return await asyncio.gather(
-            leader.hand_over(MAX_TRANSFER_S), leader.hand_over(MAX_TRANSFER_S)
+            leader.transfer_leadership(MAX_TRANSFER_S),
+            leader.transfer_leadership(MAX_TRANSFER_S),
         )
 
     assert loop.run(twice()) == [True, True]
@@ -273,7 +276,9 @@
 
     async def all_at_once():
         replicas = cluster.replicas.values()
-        await asyncio.gather(*(r.hand_over(MAX_TRANSFER_S) for r in replicas))
+        await asyncio.gather(
+            *(r.transfer_leadership(MAX_TRANSFER_S) for r in replicas)
+        )
 
     loop.run(all_at_once())
     loop.pass_time(0.1)
@@ -351,7 +356,9 @@
     loop.pass_time(3.0)
     leader = cluster.leader()
     ending, staying = others_of(cluster, leader)
-    loop.run(ending.hand_over(MAX_TRANSFER_S, for_good=True))
-    assert loop.run(leader.hand_over(MAX_TRANSFER_S, for_good=True))
+    loop.run(ending.transfer_leadership(MAX_TRANSFER_S, before_shutdown=True))
+    assert loop.run(
+        leader.transfer_leadership(MAX_TRANSFER_S, before_shutdown=True)
+    )
     assert staying.is_leader
     cluster.stop()
--- a/damaskcroft/control/_fleet_control.py
+++ b/damaskcroft/control/_fleet_control.py
@@ -9,10 +9,10 @@
 from damaskcroft.control._fleet_state import FleetState
 from damaskcroft.fleet import (
     FleetView,
-    Unusable,
+    InvalidAnnouncement,
     checked,
     configuration_faults,
-    note_unusable,
+    record_invalid_announcement,
     relay,
 )
 from damaskcroft.observe import log_event, metrics
@@ -182,8 +182,10 @@
     # --- Targets -------------------------------------------------------------
 
     async def announce(
-        self, target_id: str, announcement: fleet_pb2.TargetState | Unusable
-    ) -> bool | Unusable:
+        self,
+        target_id: str,
+        announcement: fleet_pb2.TargetState | InvalidAnnouncement,
+    ) -> bool | InvalidAnnouncement:
         """Processes an announcement of a target.
 
         An invalid announcement changes nothing.
@@ -194,8 +196,8 @@
             reaches every connected entry.
         """
         state = checked(announcement)
-        if isinstance(state, Unusable):
-            note_unusable("announcement", target_id, state)
+        if isinstance(state, InvalidAnnouncement):
+            record_invalid_announcement("announcement", target_id, state)
             return state
         if state.phase == fleet_pb2.TARGET_READY:
             self._view.take([state])
@@ -211,8 +213,8 @@
         return is_majority_informed
 
     async def leave(
-        self, target_id: str, start: fleet_pb2.TargetState | Unusable
-    ) -> bool | Unusable:
+        self, target_id: str, start: fleet_pb2.TargetState | InvalidAnnouncement
+    ) -> bool | InvalidAnnouncement:
         """Processes the last announcement of a target; see `announce`.
 
         Args:
@@ -220,8 +222,8 @@
             start: the start that ends. Without a time of birth it is taken to
                 be the newest start known to this node.
         """
-        if isinstance(start, Unusable):
-            note_unusable("leave", target_id, start)
+        if isinstance(start, InvalidAnnouncement):
+            record_invalid_announcement("leave", target_id, start)
             return start
         if not start.born_ms:
             start.born_ms = self._view.book.newest_born_ms(target_id)
@@ -328,7 +330,7 @@
 
         None where a majority does not confirm this node as the leader.
         """
-        if not await self._replica.confirm_leader(_READ_TIMEOUT_S):
+        if not await self._replica.confirm_leadership(_READ_TIMEOUT_S):
             return None
         return self._replica.commit_index
 
--- a/damaskcroft/control/_fleet_service.py
+++ b/damaskcroft/control/_fleet_service.py
@@ -256,7 +256,7 @@
         A watcher that gets only the newest one does not learn when the ones
         before it were set.
         """
-        for model in self._state.goal_by_model:
+        for model in self._state.desired_version_by_model:
             for version, set_at in self._state.version_times.retained(model):
                 yield self._with_age(model, version, set_at)
 
@@ -264,7 +264,7 @@
         self, model: str, version: int, set_at: float
     ) -> fleet_pb2.WeightGoal:
         """A desired version with its age, if any control node knows it."""
-        acceptance_times = [self._view.goal_since(model, version)]
+        acceptance_times = [self._view.version_accepted_at(model, version)]
         is_accepted_here = self._state.version_times.is_accepted_here(
             model, version
         )
@@ -298,7 +298,7 @@
         if agents:
             self._broadcast(fleet_pb2.FleetUpdate(agents=agents))
 
-    async def tell_crashes(
+    async def publish_crashes(
         self, crashes: Iterable[quarantine_pb2.TargetCrash]
     ) -> None:
         """Sends crashes that this node has learned of to all watchers."""
--- a/damaskcroft/control/_fleet_state.py
+++ b/damaskcroft/control/_fleet_state.py
@@ -28,7 +28,7 @@
 
     Attributes:
         configuration: the configuration with the highest version, or None.
-        goal_by_model: the desired version of each model that has one.
+        desired_version_by_model: desired versions of the models that have one.
         served_by_model: the recorded version in service of each model without
             a desired version.
         version_times: when this process applied each desired version, on its
@@ -39,7 +39,7 @@
         """Creates the state of a new fleet, without any configuration."""
         self._listeners: list[Callable[[], None]] = []
         self.configuration: fleet_pb2.Configuration | None = None
-        self.goal_by_model: dict[str, fleet_pb2.WeightGoal] = {}
+        self.desired_version_by_model: dict[str, fleet_pb2.WeightGoal] = {}
         self.served_by_model: dict[str, int] = {}
         self.version_times = DesiredVersionTimes()
 
@@ -58,7 +58,7 @@
 
     def desired_version(self, model: str) -> int:
         """The desired version of a model; 0 without one."""
-        desired = self.goal_by_model.get(model)
+        desired = self.desired_version_by_model.get(model)
         return desired.version if desired else 0
 
     def served(self) -> list[fleet_pb2.ServedVersion]:
@@ -85,7 +85,7 @@
         """Serializes the whole state, byte for byte equal on all replicas."""
         image = fleet_pb2.FleetImage(
             configuration=self.configuration,
-            goals=self.goal_by_model.values(),
+            goals=self.desired_version_by_model.values(),
             served=self.served(),
         )
         return image.SerializeToString(deterministic=True)
@@ -98,7 +98,9 @@
             self.configuration = image.configuration
         for desired in image.goals:
             self.version_times.record_restored(desired.model, desired.version)
-        self.goal_by_model = {desired.model: desired for desired in image.goals}
+        self.desired_version_by_model = {
+            desired.model: desired for desired in image.goals
+        }
         self.served_by_model = {
             each.model: each.version for each in image.served
         }
@@ -114,7 +116,7 @@
     def _set_desired_version(self, desired: fleet_pb2.WeightGoal) -> Applied:
         changed = desired.version > self.desired_version(desired.model)
         if changed:
-            self.goal_by_model[desired.model] = desired
+            self.desired_version_by_model[desired.model] = desired
             self.served_by_model.pop(desired.model, None)
             self.version_times.record_set(desired.model, desired.version)
             self._notify_listeners()
@@ -128,7 +130,7 @@
         records, and a desired version always takes precedence.
         """
         model = served.model
-        if model in self.goal_by_model:
+        if model in self.desired_version_by_model:
             return Applied(False, self.desired_version(model))
         changed = model not in self.served_by_model
         if changed:
--- a/damaskcroft/control/_limits_service.py
+++ b/damaskcroft/control/_limits_service.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from damaskcroft._generated import limits_grpc, limits_pb2
-from damaskcroft.limits import LimitBook
+from damaskcroft.limits import LimitRegistry
 
 __all__ = ["LimitsService"]
 
@@ -15,7 +15,7 @@
         registry: the rate limits known to this node.
     """
 
-    def __init__(self, registry: LimitBook):
+    def __init__(self, registry: LimitRegistry):
         """Serves the rate limits of `registry`."""
         self._registry = registry
 
--- a/damaskcroft/control/_quarantine_service.py
+++ b/damaskcroft/control/_quarantine_service.py
@@ -6,7 +6,7 @@
 from grpclib import GRPCError, Status
 
 from damaskcroft._generated import quarantine_grpc, quarantine_pb2
-from damaskcroft.quarantine import CrashBook
+from damaskcroft.quarantine import CrashRegistry
 
 __all__ = ["QuarantineService"]
 
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        registry: CrashBook,
+        registry: CrashRegistry,
         publish: Callable[
             [Iterable[quarantine_pb2.TargetCrash]], Awaitable[None]
         ],
--- a/damaskcroft/control/_rollout_wait_reporter.py
+++ b/damaskcroft/control/_rollout_wait_reporter.py
@@ -10,7 +10,7 @@
 from damaskcroft._generated import records_pb2
 from damaskcroft.clock import now_s
 from damaskcroft.control._rollout import Wave
-from damaskcroft.membership import held_up_word
+from damaskcroft.membership import held_up_reason
 from damaskcroft.observe import metrics
 
 __all__ = ["RolloutWaitReporter"]
@@ -94,5 +94,5 @@
 
 def _reasons(wave: Wave) -> list[str]:
     return sorted(
-        {held_up_word(reason) for reason in wave.held_up_by_target.values()}
+        {held_up_reason(reason) for reason in wave.held_up_by_target.values()}
     )
--- a/damaskcroft/control/_service.py
+++ b/damaskcroft/control/_service.py
@@ -101,7 +101,7 @@
         """
         if not granted_revision:
             return False
-        if not await self._replica.confirm_leader(_CONFIRM_TIMEOUT_S):
+        if not await self._replica.confirm_leadership(_CONFIRM_TIMEOUT_S):
             return False
         stored = self._state.holders.holders_by_id[announcement.id]
         return stored.revision == granted_revision
@@ -184,7 +184,7 @@
                     )
                 )
 
-    async def tell_crashes(
+    async def publish_crashes(
         self, crashes: Iterable[quarantine_pb2.TargetCrash]
     ) -> None:
         """Sends crashes that this node has learned of to all entries."""
@@ -233,7 +233,7 @@
     async def Read(self, stream: Any) -> None:  # noqa: N802
         """Sends the whole configuration if a majority confirms the leader."""
         await stream.recv_message()
-        confirmed = await self._replica.confirm_leader(_CONFIRM_TIMEOUT_S)
+        confirmed = await self._replica.confirm_leadership(_CONFIRM_TIMEOUT_S)
         reply = control_pb2.ReadReply(
             confirmed=confirmed,
             leader=self._replica.leader_address,
--- a/damaskcroft/control/_service_recorder.py
+++ b/damaskcroft/control/_service_recorder.py
@@ -91,7 +91,7 @@
         }
         return sorted(
             models
-            - self._state.goal_by_model.keys()
+            - self._state.desired_version_by_model.keys()
             - self._state.served_by_model.keys()
         )
 
--- a/damaskcroft/control/main.py
+++ b/damaskcroft/control/main.py
@@ -33,9 +33,9 @@
 from damaskcroft.rpc import (
     ChannelPool,
     Keys,
-    grpc_served,
-    http_served,
     run_daemon,
+    serve_grpc,
+    serve_http,
     stop_event,
 )
 from damaskcroft.tasks import background
@@ -93,7 +93,7 @@
         control,
         QuarantineService(
             ledger.crashes,
-            control.tell_crashes,
+            control.publish_crashes,
             lambda: replica.is_confirmed_leader,
         ),
     ]
@@ -102,8 +102,8 @@
         body = {"leader": replica.leader_address, "term": replica.term}
         return JSONResponse(body, 200 if replica.leader_id else 503)
 
-    async with grpc_served(settings.process.listen, services, keys):
-        async with http_served(
+    async with serve_grpc(settings.process.listen, services, keys):
+        async with serve_http(
             settings.process.http_listen, [Route("/readyz", ready)]
         ) as http_server:
             await replica.start()
@@ -115,9 +115,9 @@
             async with background(reconciler.run):
                 await stop.wait()
                 log_event("stopping", id=replica_settings.id)
-                http_server.give_notice()
-                await replica.hand_over(
-                    _LEADERSHIP_TRANSFER_TIMEOUT_S, for_good=True
+                http_server.announce_shutdown()
+                await replica.transfer_leadership(
+                    _LEADERSHIP_TRANSFER_TIMEOUT_S, before_shutdown=True
                 )
         await replica.stop()
     pool.close()
--- a/damaskcroft/control/tests/test_crashes.py
+++ b/damaskcroft/control/tests/test_crashes.py
@@ -118,7 +118,7 @@
             None, quarantine_pb2.QuarantineRequest(lift=[b"bad", b"x"])
         )
         service = QuarantineService(
-            node.view.crashes, node.service.tell_crashes
+            node.view.crashes, node.service.publish_crashes
         )
         await service.Review(call)
         assert (call.reply.lifted, len(call.reply.requests)) == (1, 0)
--- a/damaskcroft/control/tests/test_fleet_control.py
+++ b/damaskcroft/control/tests/test_fleet_control.py
@@ -26,7 +26,7 @@
     _fleet_control,
 )
 from damaskcroft.fleet import FleetView, Watcher
-from damaskcroft.rpc import ChannelPool, Keys, grpc_served
+from damaskcroft.rpc import ChannelPool, Keys, serve_grpc
 from damaskcroft.standins.loopback import free_address
 
 KEYS = Keys(None, None)
@@ -65,7 +65,7 @@
     async def start(self):
         services = [ReplicaService(self.replica), self.service]
         await self.serving.enter_async_context(
-            grpc_served(self.address, services, KEYS)
+            serve_grpc(self.address, services, KEYS)
         )
         await self.replica.start()
 
@@ -271,7 +271,9 @@
                 nodes[0].control.name_weights,
                 fleet_pb2.WeightGoal(model="m", version=2),
             )
-            await wait_until(lambda: view.goal_by_model.get("m") is not None)
+            await wait_until(
+                lambda: view.desired_version_by_model.get("m") is not None
+            )
             watching.cancel()
             await asyncio.gather(watching, return_exceptions=True)
             channels.close()
@@ -401,7 +403,7 @@
             )  # fmt: skip
             watching = asyncio.create_task(watcher.run())
             await wait_until(lambda: view.served_by_model == {"m": 1})
-            assert view.goal_by_model == {}
+            assert view.desired_version_by_model == {}
             watching.cancel()
             await asyncio.gather(watching, return_exceptions=True)
             channels.close()
@@ -466,7 +468,7 @@
             )
             leader = next(n for n in nodes if n.replica.is_leader)
             transfer = asyncio.create_task(
-                leader.replica.hand_over(TRANSFER_TIMEOUT_S)
+                leader.replica.transfer_leadership(TRANSFER_TIMEOUT_S)
             )
             await asyncio.sleep(0)
             answers = await asyncio.gather(
@@ -537,7 +539,9 @@
                 nodes[0].control.configure, configuration(1)
             )
             leader = next(node for node in nodes if node.replica.is_leader)
-            transfer = asyncio.create_task(leader.replica.hand_over(5.0))
+            transfer = asyncio.create_task(
+                leader.replica.transfer_leadership(5.0)
+            )
             # Lets the leadership transfer begin.
             await asyncio.sleep(0)
             assert leader.replica.is_leader
@@ -556,7 +560,9 @@
             )
             leader = next(node for node in nodes if node.replica.is_leader)
             # Forwarded changes reach the leader during the transfer.
-            transfer = asyncio.create_task(leader.replica.hand_over(5.0))
+            transfer = asyncio.create_task(
+                leader.replica.transfer_leadership(5.0)
+            )
             puts = [
                 node.control.configure(configuration(2))
                 for node in followers(nodes)
--- a/damaskcroft/control/tests/test_fleet_service.py
+++ b/damaskcroft/control/tests/test_fleet_service.py
@@ -125,7 +125,7 @@
         watching = node.watch(WatchStream(view))
         await asyncio.sleep(0.01)
         watching.cancel()
-        assert view.due_version("m", WEIGHTS_S) < 3
+        assert view.version_desired_for("m", WEIGHTS_S) < 3
 
     run_scenario(scenario)
 
@@ -150,12 +150,12 @@
         watching = node.watch(WatchStream(view))
         await asyncio.sleep(0.01)
         watching.cancel()
-        assert view.goal_by_model["m"].version == 3
-        assert view.due_version("m", WEIGHTS_S) == 0
+        assert view.desired_version_by_model["m"].version == 3
+        assert view.version_desired_for("m", WEIGHTS_S) == 0
         await asyncio.sleep(4.1)
-        assert view.due_version("m", WEIGHTS_S) == 2
+        assert view.version_desired_for("m", WEIGHTS_S) == 2
         await asyncio.sleep(3)
-        assert view.due_version("m", WEIGHTS_S) == 3
+        assert view.version_desired_for("m", WEIGHTS_S) == 3
 
     run_scenario(scenario)
 
@@ -181,7 +181,7 @@
         await asyncio.sleep(1.5)
         stream.resume()
         await asyncio.sleep(WEIGHTS_S - 1.4)
-        assert view.due_version("m", WEIGHTS_S) == 2
+        assert view.version_desired_for("m", WEIGHTS_S) == 2
         watching.cancel()
 
     run_scenario(scenario)
@@ -222,7 +222,7 @@
     watching = node.watch(WatchStream(view))
     await asyncio.sleep(0.01)
     watching.cancel()
-    return view.due_version("m", WEIGHTS_S)
+    return view.version_desired_for("m", WEIGHTS_S)
 
 
 def test_a_version_accepted_soon_after_a_start_has_its_age(loop):
@@ -245,8 +245,8 @@
         watching = node.watch(WatchStream(view))
         await asyncio.sleep(0.01)
         watching.cancel()
-        assert view.due_version("m", WEIGHTS_S) == 1
-        assert view.due_version("m", 0.9) == 2
+        assert view.version_desired_for("m", WEIGHTS_S) == 1
+        assert view.version_desired_for("m", 0.9) == 2
 
     loop.run(scenario())
 
--- a/damaskcroft/control/tests/test_new_leader.py
+++ b/damaskcroft/control/tests/test_new_leader.py
@@ -35,7 +35,7 @@
         self.is_confirmed_leader = True
         self.leader_address = "leader"
 
-    async def confirm_leader(self, timeout_s):
+    async def confirm_leadership(self, timeout_s):
         return self.is_confirmed_leader
 
     async def propose(self, command):
--- a/damaskcroft/ctl/_views.py
+++ b/damaskcroft/ctl/_views.py
@@ -11,7 +11,7 @@
     quarantine_pb2,
     records_pb2,
 )
-from damaskcroft.membership import held_up_word
+from damaskcroft.membership import held_up_reason
 from damaskcroft.records import InvalidRecord, deployment_for, parse_deployment
 
 _MS_PER_S = 1000
@@ -168,7 +168,7 @@
     if report.held_up_ms < _MS_PER_S:
         return phase
     return (
-        f"{phase} ({held_up_word(report.held_up_by)}"
+        f"{phase} ({held_up_reason(report.held_up_by)}"
         f" {_format_held_up_time(report)})"
     )
 
@@ -189,7 +189,7 @@
     report, burst = holder.report, holder.report.burst
     lines = []
     if report.held_up_ms:
-        reason = held_up_word(report.held_up_by)
+        reason = held_up_reason(report.held_up_by)
         lines.append(
             f"its order is held up: {reason} for {_format_held_up_time(report)}"
         )
--- a/damaskcroft/ctl/_why.py
+++ b/damaskcroft/ctl/_why.py
@@ -9,7 +9,7 @@
 from damaskcroft.ctl._causes import Context, explain_outcome
 from damaskcroft.ctl._log_lines import Line
 
-__all__ = ["story"]
+__all__ = ["explain_request"]
 
 # State changes this long before a request may have affected it.
 _LOOKBACK_S = 10.0
@@ -28,7 +28,7 @@
 _TARGET_EVENTS = frozenset({"target_aside", "target_back", "target_changed"})
 
 
-def story(request_id: str, lines: Iterable[Line]) -> list[str]:
+def explain_request(request_id: str, lines: Iterable[Line]) -> list[str]:
     """Returns the request's lines and, last, its cause; empty if unknown."""
     events = sorted(lines, key=lambda line: line.time)
     request_lines = [
--- a/damaskcroft/ctl/main.py
+++ b/damaskcroft/ctl/main.py
@@ -189,7 +189,7 @@
             lines += path.read_text(errors="replace").splitlines()
         except OSError as error:
             _fail(f"{path}: {error}", _EXIT_USAGE)
-    report = _why.story(request_id, _log_lines.parsed(lines))
+    report = _why.explain_request(request_id, _log_lines.parsed(lines))
     if not report:
         _fail(f"no line of these logs names {request_id}", _EXIT_REFUSED)
     print("\n".join(report))
--- a/damaskcroft/ctl/tests/test_quarantine.py
+++ b/damaskcroft/ctl/tests/test_quarantine.py
@@ -5,7 +5,7 @@
 from damaskcroft._generated import quarantine_pb2
 from damaskcroft.ctl._log_lines import parsed
 from damaskcroft.ctl._views import quarantine_table
-from damaskcroft.ctl._why import story
+from damaskcroft.ctl._why import explain_request
 
 
 def test_each_quarantined_request_is_one_row():
@@ -39,5 +39,5 @@
 )
 def test_cause_of_a_refusal_is_reported(fields, cause):
     line = f"time=2026-01-01T10:00:00.000 process=e event=refused {fields}"
-    report = story("r-1", parsed([f"{line} request=r-1"]))
+    report = explain_request("r-1", parsed([f"{line} request=r-1"]))
     assert report[-1] == f"cause: {cause}"
--- a/damaskcroft/ctl/tests/test_why.py
+++ b/damaskcroft/ctl/tests/test_why.py
@@ -3,7 +3,7 @@
 import pytest
 
 from damaskcroft.ctl._log_lines import parsed
-from damaskcroft.ctl._why import story
+from damaskcroft.ctl._why import explain_request
 
 
 def log(*lines, process="entry-1", day="2026-01-01"):
@@ -15,7 +15,7 @@
 
 
 def explain(*lines):
-    return story("r-1", parsed(lines))
+    return explain_request("r-1", parsed(lines))
 
 
 def test_events_long_before_midnight_are_not_related():
--- a/damaskcroft/engines/__init__.py
+++ b/damaskcroft/engines/__init__.py
@@ -1,6 +1,6 @@
 """Interfaces and HTTP clients of targets: model engines and plain services."""
 
-from damaskcroft._later import imported_later
+from damaskcroft._lazy_imports import lazy_imports
 from damaskcroft.engines._base import (
     CallFailed,
     CallNotSent,
@@ -37,7 +37,7 @@
     "UnfencedEngine",
 ]
 
-__getattr__ = imported_later(
+__getattr__ = lazy_imports(
     __name__,
     dict.fromkeys(("FencingEngine", "PlainService", "UnfencedEngine"), "_http"),
 )
--- a/damaskcroft/engines/_base.py
+++ b/damaskcroft/engines/_base.py
@@ -6,7 +6,7 @@
 from collections.abc import AsyncIterator
 
 from damaskcroft._generated import control_pb2
-from damaskcroft.limits import LimitWord, Unnamed
+from damaskcroft.limits import LimitHeader, Unnamed
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -96,7 +96,7 @@
     content_type: str
     body: AsyncIterator[bytes]
     request_id: str
-    limit: LimitWord = Unnamed()
+    limit: LimitHeader = Unnamed()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/damaskcroft/engines/_http.py
+++ b/damaskcroft/engines/_http.py
@@ -24,7 +24,7 @@
     OrderRefused,
     TargetCall,
 )
-from damaskcroft.limits import LimitWord, limit_named
+from damaskcroft.limits import LimitHeader, parse_limit
 from damaskcroft.membership import Lease
 from damaskcroft.observe import metrics
 from damaskcroft.quarantine import is_gone
@@ -237,9 +237,9 @@
     return headers
 
 
-def _rate_limit(response: aiosonic.HttpResponse) -> LimitWord:
+def _rate_limit(response: aiosonic.HttpResponse) -> LimitHeader:
     value = response.headers.get(_RATE_LIMIT_HEADER)
-    return limit_named([] if value is None else [value])
+    return parse_limit([] if value is None else [value])
 
 
 async def _body_chunks(response: aiosonic.HttpResponse) -> AsyncIterator[bytes]:
--- a/damaskcroft/engines/_staged.py
+++ b/damaskcroft/engines/_staged.py
@@ -38,16 +38,16 @@
         """Fetches the state of the target."""
 
     @abc.abstractmethod
-    async def put_piece(self, model: str, index: int, data: bytes) -> bool:
+    async def stage_piece(self, model: str, index: int, data: bytes) -> bool:
         """Stages one piece; returns whether the target accepted it."""
 
     @abc.abstractmethod
-    async def get_piece(self, model: str, index: int) -> bytes | None:
+    async def fetch_staged_piece(self, model: str, index: int) -> bytes | None:
         """Fetches a staged piece; None if there is none."""
 
     @abc.abstractmethod
     async def start(
-        self, model: str, version: int, sequence: int, *, cut_running: bool
+        self, model: str, version: int, sequence: int, *, abort_running: bool
     ) -> OrderOutcome:
         """Orders the target to load the staged pieces as a version.
 
@@ -56,7 +56,7 @@
             version: version of the staged pieces.
             sequence: number of orders begun so far; the target runs the order
                 only if its own count is the same.
-            cut_running: abort running requests instead of waiting for them.
+            abort_running: abort running requests instead of waiting for them.
         """
 
     @abc.abstractmethod
@@ -65,7 +65,7 @@
         part: fleet_pb2.HeldLayers,
         sequence: int,
         *,
-        cut_running: bool = False,
+        abort_running: bool = False,
     ) -> OrderOutcome:
         """Orders the target to unload all layers except some that it holds.
 
@@ -78,7 +78,7 @@
             part: the layers to keep.
             sequence: number of orders begun so far; the target runs the order
                 only if its own count is the same.
-            cut_running: abort running requests instead of letting them end.
+            abort_running: abort running requests instead of letting them end.
         """
 
     @abc.abstractmethod
--- a/damaskcroft/entry/_dispatch.py
+++ b/damaskcroft/entry/_dispatch.py
@@ -158,7 +158,7 @@
 
     def _pool_refusal(self, call: Call) -> Refusal | None:
         """Refuses unknown pools, and every call before the first roster."""
-        if not self._client.roster.has_view:
+        if not self._client.roster.has_received_state:
             # A 404 would be final for the caller, and is most likely wrong
             # before the first roster has arrived.
             return Refusal(
@@ -266,7 +266,7 @@
         if reason == agent_pb2.REFUSED_TARGET_UNREACHABLE:
             self._outliers.failed(target.id)
         if reason == agent_pb2.REFUSED_RATE_LIMITED:
-            self._chooser.leave_alone(target.id, refused.retry_after_s)
+            self._chooser.pause_for(target.id, refused.retry_after_s)
 
     async def _attempt(
         self,
@@ -305,7 +305,7 @@
                 first.refused.reason, first.refused.retry_after_ms / 1000
             )
         if kind in ("head", "whole"):
-            metrics.LATE_DROPPED.labels("crossed_at_entry").inc()
+            metrics.ANSWERS_DROPPED.labels("crossed_at_entry").inc()
         return AttemptLost(failure_reason(first))
 
     async def _run_events(
--- a/damaskcroft/entry/_suspects.py
+++ b/damaskcroft/entry/_suspects.py
@@ -9,9 +9,9 @@
 from damaskcroft.membership import LeaseClient
 from damaskcroft.observe import log_event, metrics
 from damaskcroft.quarantine import (
-    MOST_NOTED_BYTES,
-    Copies,
+    MAX_RECORDED_BODY_BYTES,
     RecentAnswers,
+    SerialCopies,
     fingerprint,
 )
 
@@ -29,7 +29,7 @@
         """Takes the client; its roster holds the crash registry."""
         self.client = client
         self.crash_registry = client.roster.crashes
-        self.copies = Copies(self.crash_registry)
+        self.copies = SerialCopies(self.crash_registry)
         self.recent_answers = RecentAnswers()
 
     def watch(self, call: Call) -> "WatchedCall":
@@ -134,13 +134,13 @@
                 start_id=failed.target_start, suspects=[suspect]
             )
         )
-        self._suspects.client.report_soon()
+        self._suspects.client.renew_now()
 
     def _record_answer(self, status: int) -> None:
         is_failure = status >= http.HTTPStatus.INTERNAL_SERVER_ERROR
         if is_failure:
             return
-        if len(self.call.body) <= MOST_NOTED_BYTES:
+        if len(self.call.body) <= MAX_RECORDED_BODY_BYTES:
             self._suspects.recent_answers.note(self.fingerprint)
         if not self._suspects.crash_registry.has_suspects:
             return
@@ -152,4 +152,4 @@
             request_id=self.call.request_id,
             fingerprint=self.fingerprint.hex(),
         )
-        self._suspects.client.report_soon()
+        self._suspects.client.renew_now()
--- a/damaskcroft/entry/main.py
+++ b/damaskcroft/entry/main.py
@@ -28,13 +28,13 @@
 from damaskcroft.observe import log_event, metrics
 from damaskcroft.routing import Admission, PoolTable
 from damaskcroft.rpc import (
-    CallerLeft,
+    CallerDisconnected,
     ChannelPool,
     Keys,
-    http_served,
     run_daemon,
+    run_unless_disconnected,
+    serve_http,
     stop_event,
-    unless_caller_leaves,
 )
 from damaskcroft.tasks import background
 
@@ -114,7 +114,7 @@
                 self._admission.run,
                 self._dispatcher.run,
             ),
-            http_served(
+            serve_http(
                 self._settings.process.http_listen,
                 self._routes(),
                 closing_body=closing_body.encode(),
@@ -124,7 +124,7 @@
             log_event("started", id=self._settings.process.name)
             await stop.wait()
             self._is_stopping = True
-            server.give_notice()
+            server.announce_shutdown()
             log_event("stopping", running=self._running.count)
             await asyncio.sleep(_READINESS_PROPAGATION_S)
             await self._running.drain()
@@ -183,10 +183,10 @@
         The agent then cancels a repeatable run at the target. A claimed run
         continues, and its answer is stored for a retry of the caller.
         """
-        outcome = await unless_caller_leaves(
+        outcome = await run_unless_disconnected(
             request, self._dispatcher.answer(call)
         )
-        if not isinstance(outcome, CallerLeft):
+        if not isinstance(outcome, CallerDisconnected):
             return outcome
         disconnected = Refusal("caller_left", _CALLER_LEFT_STATUS, Ran.UNKNOWN)
         return final_response(refusal_response(disconnected, call.request_id))
@@ -200,7 +200,7 @@
         return JSONResponse({"healthy": True})
 
     async def _ready(self, _: Request) -> Response:
-        ready = self._client.roster.has_view and not self._is_stopping
+        ready = self._client.roster.has_received_state and not self._is_stopping
         body = {
             "ready": ready,
             "revision": self._client.roster.revision,
--- a/damaskcroft/entry/tests/fakes.py
+++ b/damaskcroft/entry/tests/fakes.py
@@ -196,7 +196,7 @@
         self.lease = Lease()
         self.peers = []
 
-    def report_soon(self):
+    def renew_now(self):
         """Copies the crashes known here to every other entry."""
         for other in self.peers:
             for crash in self.roster.crashes.words():
--- a/damaskcroft/experiments/_entry.py
+++ b/damaskcroft/experiments/_entry.py
@@ -32,17 +32,17 @@
     Attributes:
         outcome: in time, late or refused.
         first_s: time from sending to the first event, or to the refusal.
-        returns_s: the Retry-After of a refusal.
+        retry_in_s: the Retry-After of a refusal.
         work_s: engine time that the attempt took.
     """
 
-    __slots__ = ("first_s", "outcome", "returns_s", "work_s")
+    __slots__ = ("first_s", "outcome", "retry_in_s", "work_s")
 
     def __init__(self, outcome: Outcome, first_s: float):
         """Starts without Retry-After and engine time."""
         self.outcome = outcome
         self.first_s = first_s
-        self.returns_s = 0.0
+        self.retry_in_s = 0.0
         self.work_s = 0.0
 
 
@@ -95,7 +95,7 @@
         """Runs one attempt; returns after its last event or its refusal."""
         granted = await self._queue.take_slot(ticket)
         if isinstance(granted, Overloaded):
-            return self._make_refusal(ticket, granted.foreseen_s)
+            return self._make_refusal(ticket, granted.expected_wait_s)
         try:
             return await self._run_at_engine(ticket, events, granted)
         except EngineFullError:
@@ -115,21 +115,27 @@
         load = engine.load
         await asyncio.sleep(self._fleet.delay_s)
         first_event_s = now_s() - sent_at
-        self._queue.first_answered(ticket.service, first_event_s)
-        self._placer.first_answered(first_event_s, ticket.goal_s)
+        self._queue.record_first_answer(ticket.service, first_event_s)
+        self._placer.record_first_answer(
+            first_event_s, ticket.latency_objective_s
+        )
         self._placer.told(granted.candidate.id, load)
         if granted.slot.read():
             self._queue.serve()
         first_s = now_s() - ticket.arrived_at
-        is_late = first_s > ticket.goal_s
+        is_late = first_s > ticket.latency_objective_s
         answer = Answer(Outcome.LATE if is_late else Outcome.IN_TIME, first_s)
         await run.ended
         answer.work_s = run.work_s
         return answer
 
-    def _make_refusal(self, ticket: QueueTicket, foreseen_s: float) -> Answer:
+    def _make_refusal(
+        self, ticket: QueueTicket, expected_wait_s: float
+    ) -> Answer:
         answer = Answer(Outcome.REFUSED, now_s() - ticket.arrived_at)
-        answer.returns_s = self._policy.return_after_s(foreseen_s, self._rng)
+        answer.retry_in_s = self._policy.draw_retry_after_s(
+            expected_wait_s, self._rng
+        )
         return answer
 
     def _choose(self, ticket: QueueTicket) -> Placement | None:
@@ -144,7 +150,10 @@
 
 
 def make_ticket(
-    priority: int, goal_s: float, deadline_s: float, prompt_tokens: int
+    priority: int,
+    latency_objective_s: float,
+    deadline_s: float,
+    prompt_tokens: int,
 ) -> QueueTicket:
     """Returns the ticket of a request that arrives now."""
     now = now_s()
@@ -153,7 +162,7 @@
         model="",
         priority=priority,
         arrived_at=now,
-        goal_s=goal_s,
+        latency_objective_s=latency_objective_s,
         deadline_at=now + deadline_s,
         prompt_tokens=prompt_tokens,
     )
--- a/damaskcroft/experiments/_parameters.py
+++ b/damaskcroft/experiments/_parameters.py
@@ -88,7 +88,7 @@
         steps: pairs of a start time in seconds and the load from then on,
             relative to the saturation rate of all engines.
         ends_s: time at which arrivals end.
-        goal_s: latency objective for the first event.
+        latency_objective_s: latency objective for the first event.
         deadline_s: deadline of a request.
         max_retries: most retries of a refused caller.
         skew: ratio of callers of the busiest entry to those of the least
@@ -102,7 +102,7 @@
     )
     steps: tuple[tuple[float, float], ...] = ((0.0, 1.0),)
     ends_s: float = 20.0
-    goal_s: float = 0.41
+    latency_objective_s: float = 0.41
     deadline_s: float = 6.0
     max_retries: int = 1
     skew: float = 3.0
--- a/damaskcroft/experiments/_policies.py
+++ b/damaskcroft/experiments/_policies.py
@@ -16,7 +16,7 @@
     RequestQueue,
     Slot,
     UnreadBound,
-    return_after_s,
+    draw_retry_after_s,
 )
 
 __all__ = ["POLICIES_BY_NAME", "Policy", "Standing"]
@@ -36,9 +36,11 @@
     def queue(self, choose: Choose, take: Take) -> RequestQueue:
         """Returns a queue for requests that wait while engines are full."""
 
-    def return_after_s(self, foreseen_s: float, rng: random.Random) -> float:
+    def draw_retry_after_s(
+        self, expected_wait_s: float, rng: random.Random
+    ) -> float:
         """Returns the Retry-After of a refused caller."""
-        return return_after_s(foreseen_s, rng)
+        return draw_retry_after_s(expected_wait_s, rng)
 
 
 class Standing(Policy):
@@ -56,7 +58,7 @@
 class _NoAdaptiveBound(UnreadBound):
     """Leaves the bound on unread prompts at its maximum."""
 
-    def note(self, took_s: float, goal_s: float) -> None:
+    def note(self, took_s: float, latency_objective_s: float) -> None:
         """Ignores measured times, so that the bound does not follow them."""
 
 
--- a/damaskcroft/experiments/_simulation.py
+++ b/damaskcroft/experiments/_simulation.py
@@ -17,7 +17,7 @@
 from damaskcroft.experiments._policies import Policy
 from damaskcroft.experiments._results import Attempt, Outcome, Results
 from damaskcroft.standins.virtual_time import VirtualTimeLoop
-from damaskcroft.tasks import end_all
+from damaskcroft.tasks import cancel_all
 
 __all__ = ["simulate"]
 
@@ -83,7 +83,7 @@
             async with asyncio.TaskGroup() as callers:
                 await self._generate_arrivals(callers)
         finally:
-            await end_all(workers)
+            await cancel_all(workers)
         return self._results
 
     async def _generate_arrivals(self, callers: asyncio.TaskGroup) -> None:
@@ -121,7 +121,7 @@
             answer = await self._entries[entry].submit(
                 make_ticket(
                     caller.kind.priority,
-                    self._load.goal_s,
+                    self._load.latency_objective_s,
                     self._load.deadline_s,
                     caller.prompt_tokens,
                 ),
@@ -140,7 +140,7 @@
             )
             if answer.outcome is not Outcome.REFUSED:
                 return
-            await asyncio.sleep(answer.returns_s)
+            await asyncio.sleep(answer.retry_in_s)
 
 
 class _Caller:
--- a/damaskcroft/fleet/__init__.py
+++ b/damaskcroft/fleet/__init__.py
@@ -1,19 +1,23 @@
 """Fleet state: announced targets, configured routes and known agents."""
 
-from damaskcroft.fleet._announcements import Unusable, checked, note_unusable
+from damaskcroft.fleet._announcements import (
+    InvalidAnnouncement,
+    checked,
+    record_invalid_announcement,
+)
 from damaskcroft.fleet._held import (
     agents_by_target_address,
-    held_by,
-    may_serve,
+    complete_versions,
+    held_layers,
+    holds_servable_layers,
     version_in_service,
-    whole_versions,
 )
 from damaskcroft.fleet._relaying import relay
 from damaskcroft.fleet._reporter import Reporter
 from damaskcroft.fleet._routes import RouteTable, mark_interruptible
 from damaskcroft.fleet._settings import Bounds, NodeSettings
-from damaskcroft.fleet._targets import TargetBook, start_id
-from damaskcroft.fleet._turns import TurnTaker
+from damaskcroft.fleet._targets import TargetRegistry, start_id
+from damaskcroft.fleet._turns import TurnClient
 from damaskcroft.fleet._validation import configuration_faults
 from damaskcroft.fleet._view import (
     GUARD_RENEWED_S,
@@ -31,19 +35,19 @@
     "NodeSettings",
     "Reporter",
     "RouteTable",
-    "TargetBook",
-    "TurnTaker",
-    "Unusable",
+    "TargetRegistry",
+    "TurnClient",
+    "InvalidAnnouncement",
     "Watcher",
     "agents_by_target_address",
     "checked",
     "configuration_faults",
-    "held_by",
-    "may_serve",
+    "held_layers",
+    "holds_servable_layers",
     "mark_interruptible",
-    "note_unusable",
+    "record_invalid_announcement",
     "relay",
     "start_id",
     "version_in_service",
-    "whole_versions",
+    "complete_versions",
 ]
--- a/damaskcroft/fleet/_announcements.py
+++ b/damaskcroft/fleet/_announcements.py
@@ -2,7 +2,7 @@
 
 An announcement of another sender may be well-formed and still describe no
 usable target. Such announcements are rejected and change no state. Whether the
-configuration names the service is checked by `TargetBook`, because the
+configuration names the service is checked by `TargetRegistry`, because the
 configuration may arrive after the announcement.
 """
 
@@ -14,7 +14,7 @@
 from damaskcroft._generated import fleet_pb2
 from damaskcroft.observe import log_event, metrics
 
-__all__ = ["Unusable", "checked", "note_unusable"]
+__all__ = ["InvalidAnnouncement", "checked", "record_invalid_announcement"]
 
 # Maximum number of concurrent requests at one address: one connection each.
 _MAX_SLOTS = 65_535
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Unusable:
+class InvalidAnnouncement:
     """An announcement that no target can have made.
 
     Attributes:
@@ -45,8 +45,8 @@
 
 
 def checked(
-    announcement: fleet_pb2.TargetState | Unusable,
-) -> fleet_pb2.TargetState | Unusable:
+    announcement: fleet_pb2.TargetState | InvalidAnnouncement,
+) -> fleet_pb2.TargetState | InvalidAnnouncement:
     """Validates an announcement.
 
     Of the last announcement of a target only its start is checked.
@@ -54,21 +54,25 @@
     Returns:
         The announcement, or what is wrong with it.
     """
-    if isinstance(announcement, Unusable):
+    if isinstance(announcement, InvalidAnnouncement):
         return announcement
     if announcement.born_ms > time.time() * _MS_IN_S + _MAX_AHEAD_MS:
-        return Unusable("out_of_range", f"born_ms {announcement.born_ms}")
+        return InvalidAnnouncement(
+            "out_of_range", f"born_ms {announcement.born_ms}"
+        )
     if announcement.phase == fleet_pb2.TARGET_GONE:
         return announcement
     if not announcement.service:
-        return Unusable("unknown_service", "empty service name")
+        return InvalidAnnouncement("unknown_service", "empty service name")
     if not _is_connectable(announcement.address):
-        return Unusable("bad_address", announcement.address)
+        return InvalidAnnouncement("bad_address", announcement.address)
     fault = _out_of_range_number(announcement)
-    return Unusable("out_of_range", fault) if fault else announcement
+    return InvalidAnnouncement("out_of_range", fault) if fault else announcement
 
 
-def note_unusable(kind: str, target_id: str, unusable: Unusable) -> None:
+def record_invalid_announcement(
+    kind: str, target_id: str, unusable: InvalidAnnouncement
+) -> None:
     """Counts and logs a rejected announcement.
 
     Args:
@@ -76,7 +80,7 @@
         target_id: id of the target that it names.
         unusable: what is wrong with it.
     """
-    metrics.UNUSABLE_WORDS.labels(kind, unusable.reason).inc()
+    metrics.INVALID_ANNOUNCEMENTS.labels(kind, unusable.reason).inc()
     log_event(
         "word_unusable",
         kind=kind,
--- a/damaskcroft/fleet/_held.py
+++ b/damaskcroft/fleet/_held.py
@@ -8,10 +8,10 @@
 
 __all__ = [
     "agents_by_target_address",
-    "held_by",
-    "may_serve",
+    "held_layers",
+    "holds_servable_layers",
     "version_in_service",
-    "whole_versions",
+    "complete_versions",
 ]
 
 
@@ -42,14 +42,14 @@
     return agent.target_born_ms < state.born_ms
 
 
-def held_by(
+def held_layers(
     state: fleet_pb2.TargetState, agent: fleet_pb2.AgentState | None
 ) -> Iterable[fleet_pb2.HeldLayers]:
     """What a target holds; its agent's announcement is more recent."""
     return agent.held if agent is not None else state.held
 
 
-def may_serve(part: fleet_pb2.HeldLayers) -> bool:
+def holds_servable_layers(part: fleet_pb2.HeldLayers) -> bool:
     """Whether more is held than the one layer that a weights guard leaves.
 
     Targets that load models in one piece announce no layers, which reads as 0
@@ -58,7 +58,7 @@
     return part.end_layer - part.first_layer != 1
 
 
-def whole_versions(
+def complete_versions(
     parts: Iterable[fleet_pb2.HeldLayers], model: str, layers: int
 ) -> Iterator[int]:
     """Versions of a model of which all layers are held.
@@ -107,8 +107,8 @@
         layers = layers_by_service.get(state.service)
         if layers is None:
             continue
-        parts = held_by(state, agent_by_target.get(state.address))
-        versions = {v for v in whole_versions(parts, model, layers) if v}
+        parts = held_layers(state, agent_by_target.get(state.address))
+        versions = {v for v in complete_versions(parts, model, layers) if v}
         holders += bool(versions)
         holders_by_version.update(versions)
     return max(
--- a/damaskcroft/fleet/_reporter.py
+++ b/damaskcroft/fleet/_reporter.py
@@ -38,7 +38,7 @@
         self._unreported_limits: set[str] = set()
         self._wake = asyncio.Event()
 
-    def tell_crashes(
+    def report_crashes(
         self, crashes: Iterable[quarantine_pb2.TargetCrash]
     ) -> None:
         """Records crashes locally and schedules their report to control."""
@@ -47,7 +47,7 @@
         self._unreported_crashes.update(crash.start_id for crash in crashes)
         self._wake.set()
 
-    def tell_limits(self, limits: Iterable[limits_pb2.NamedLimit]) -> None:
+    def report_limits(self, limits: Iterable[limits_pb2.NamedLimit]) -> None:
         """Records rate limits locally and schedules their report to control."""
         limits = list(limits)
         self._view.take([], limits=limits)
--- a/damaskcroft/fleet/_targets.py
+++ b/damaskcroft/fleet/_targets.py
@@ -20,7 +20,7 @@
 
 from damaskcroft._generated import fleet_pb2
 
-__all__ = ["TargetBook", "start_id"]
+__all__ = ["TargetRegistry", "start_id"]
 
 # Maximum number of recorded ends of starts, which prevent late announcements
 # from reviving them. Announcements are late by some seconds at most; this
@@ -62,7 +62,7 @@
         return is_preferred, born_ms, self.arrival_order
 
 
-class TargetBook:
+class TargetRegistry:
     """The newest state of each target.
 
     Announcements are kept by id and service. Only those of services in the
@@ -181,7 +181,7 @@
             announcement.arrival_order = min(lowest, 1) - 1
         self._invalidate_caches()
 
-    def is_leaving(self, target_id: str, born_ms: int) -> bool:
+    def is_draining(self, target_id: str, born_ms: int) -> bool:
         """Whether a start of a target is leaving or has left.
 
         Args:
@@ -329,8 +329,8 @@
     state: fleet_pb2.TargetState, known: fleet_pb2.TargetState
 ) -> bool:
     """Whether a leaving announcement does not identify the start it ends."""
-    is_leaving = state.phase == fleet_pb2.TARGET_DRAINING
-    return is_leaving and not state.born_ms and known.born_ms > 0
+    is_draining = state.phase == fleet_pb2.TARGET_DRAINING
+    return is_draining and not state.born_ms and known.born_ms > 0
 
 
 def _equal_except_sequence(
--- a/damaskcroft/fleet/_turns.py
+++ b/damaskcroft/fleet/_turns.py
@@ -13,7 +13,7 @@
 from damaskcroft.observe import log_event
 from damaskcroft.rpc import CALL_ERRORS, ChannelPool
 
-__all__ = ["TurnTaker"]
+__all__ = ["TurnClient"]
 
 _MS_IN_S = 1000
 _DIGEST_BYTES = 8
@@ -21,7 +21,7 @@
 _OPEN_TIMEOUT_S = 0.4
 
 
-class TurnTaker:
+class TurnClient:
     """Acquires turns at the control node that all entries ask first.
 
     Control nodes are ranked by rendezvous hashing of the fingerprint, which
--- a/damaskcroft/fleet/_view.py
+++ b/damaskcroft/fleet/_view.py
@@ -8,10 +8,10 @@
 from damaskcroft.clock import now_s
 from damaskcroft.fleet._entry_names import EntryNames
 from damaskcroft.fleet._routes import RouteTable
-from damaskcroft.fleet._targets import TargetBook
-from damaskcroft.limits import LimitBook
+from damaskcroft.fleet._targets import TargetRegistry
+from damaskcroft.limits import LimitRegistry
 from damaskcroft.observe import log_event
-from damaskcroft.quarantine import CrashBook
+from damaskcroft.quarantine import CrashRegistry
 from damaskcroft.tasks import Signal
 
 __all__ = ["GUARD_RENEWED_S", "RENEWALS_GATHERED_S", "FleetView"]
@@ -53,8 +53,8 @@
             start.
         table: lookup table of its routes and keys, or None.
         book: registry of announced targets.
-        goal_by_model: desired version of the weights of each model.
-        goal_since_by_model: by model and version, the loop time at which
+        desired_version_by_model: desired version of the weights of each model.
+        accepted_at_by_model: by model and version, the loop time at which
             control accepted it as desired; minus infinity if no control node
             knows the time.
         served_by_model: version in service of models without a desired version,
@@ -64,27 +64,27 @@
         crashes: registry of crashed targets and the requests they ran.
         limits: registry of the rate limits that targets announced.
         entry_names: names of all entries of the fleet.
-        wishes: signalled when the configuration, a desired version, its time of
-            acceptance or a recorded version in service changes.
+        desired_changed: signalled when the configuration, a desired version,
+            its time of acceptance or a recorded version in service changes.
     """
 
     def __init__(
         self,
         logs_target: Callable[[fleet_pb2.TargetState], bool] = lambda _: True,
-        crashes: CrashBook | None = None,
+        crashes: CrashRegistry | None = None,
     ) -> None:
         """Creates an empty view."""
-        self.crashes = crashes if crashes is not None else CrashBook()
-        self.limits = LimitBook()
+        self.crashes = crashes if crashes is not None else CrashRegistry()
+        self.limits = LimitRegistry()
         self.entry_names = EntryNames()
-        self.wishes = Signal()
+        self.desired_changed = Signal()
         self._logs_target = logs_target
         self.configuration: fleet_pb2.Configuration | None = None
         self._configured_at = -math.inf
         self.table: RouteTable | None = None
-        self.book = TargetBook()
-        self.goal_by_model: dict[str, fleet_pb2.WeightGoal] = {}
-        self.goal_since_by_model: dict[str, dict[int, float]] = {}
+        self.book = TargetRegistry()
+        self.desired_version_by_model: dict[str, fleet_pb2.WeightGoal] = {}
+        self.accepted_at_by_model: dict[str, dict[int, float]] = {}
         self.served_by_model: dict[str, int] = {}
         self.agents_by_address: dict[str, fleet_pb2.AgentState] = {}
         self._agent_received_at: dict[str, float] = {}
@@ -97,7 +97,7 @@
         self._last_update_at = -math.inf
 
     @property
-    def heard_s_ago(self) -> float:
+    def last_update_age_s(self) -> float:
         """Time since the last update of any control node; the view's age."""
         return now_s() - self._last_update_at
 
@@ -133,14 +133,14 @@
         self._configured_at = time.monotonic()
         self.table = RouteTable(configuration)
         self.name_services(service.name for service in configuration.services)
-        self.wishes.give()
+        self.desired_changed.give()
 
     def name_services(self, names: Iterable[str]) -> None:
         """Sets the configured services; other targets are not in effect."""
         if self.book.name_services(frozenset(names)):
             self.changes += 1
 
-    def due_version(self, model: str, after_s: float) -> int:
+    def version_desired_for(self, model: str, after_s: float) -> int:
         """The newest version that has been desired for some time; 0 if none.
 
         The time of each version counts from its own acceptance, also after a
@@ -150,7 +150,7 @@
             model: name of the model.
             after_s: minimum time since the acceptance.
         """
-        accepted_at_by_version = self.goal_since_by_model.get(model, {})
+        accepted_at_by_version = self.accepted_at_by_model.get(model, {})
         latest_acceptance = now_s() - after_s
         return max(
             (
@@ -161,16 +161,18 @@
             default=0,
         )
 
-    def goal_since(self, model: str, version: int) -> float:
+    def version_accepted_at(self, model: str, version: int) -> float:
         """Loop time at which a version was accepted as the desired one.
 
         Returns:
             Minus infinity if the time is unknown.
         """
-        accepted_at_by_version = self.goal_since_by_model.get(model, {})
+        accepted_at_by_version = self.accepted_at_by_model.get(model, {})
         return accepted_at_by_version.get(version, -math.inf)
 
-    def ends_in_s(self, model: str, version: int, within_s: float) -> float:
+    def superseded_in_s(
+        self, model: str, version: int, within_s: float
+    ) -> float:
         """Time until requests may begin on newer versions only.
 
         Args:
@@ -183,7 +185,7 @@
             Seconds from now, negative after that time; infinite if no newer
             version with a known time of acceptance is desired.
         """
-        accepted_at_by_version = self.goal_since_by_model.get(model, {})
+        accepted_at_by_version = self.accepted_at_by_model.get(model, {})
         ends = (
             since + within_s - now_s()
             for newer, since in accepted_at_by_version.items()
@@ -275,7 +277,7 @@
             else:
                 on_renewal(changed)
 
-    def doubt_target(self, target_id: str) -> None:
+    def demote_target(self, target_id: str) -> None:
         """Records that another target answers at a target's address."""
         log_event("target_doubted", id=target_id)
         self.book.doubt(target_id)
@@ -322,11 +324,11 @@
 
     def _merge_desired_version(self, desired: fleet_pb2.WeightGoal) -> None:
         self._merge_acceptance_time(desired)
-        known = self.goal_by_model.get(desired.model)
+        known = self.desired_version_by_model.get(desired.model)
         if known is not None and known.version >= desired.version:
             return
-        self.goal_by_model[desired.model] = desired
-        self.wishes.give()
+        self.desired_version_by_model[desired.model] = desired
+        self.desired_changed.give()
         log_event("weights_named", model=desired.model, version=desired.version)
 
     def _merge_served(self, served: fleet_pb2.ServedVersion) -> None:
@@ -334,7 +336,7 @@
         if served.model in self.served_by_model:
             return
         self.served_by_model[served.model] = served.version
-        self.wishes.give()
+        self.desired_changed.give()
         log_event(
             "weights_in_service", model=served.model, version=served.version
         )
@@ -346,7 +348,7 @@
         reports too low an age; none reports too high an age. A desired version
         of unknown age was accepted long ago.
         """
-        since_by_version = self.goal_since_by_model.setdefault(
+        since_by_version = self.accepted_at_by_model.setdefault(
             desired.model, {}
         )
         known = since_by_version.get(desired.version, -math.inf)
@@ -359,7 +361,7 @@
         )
         since_by_version[desired.version] = since
         if abs(since - known) > _AGE_JITTER_S:
-            self.wishes.give()
+            self.desired_changed.give()
 
 
 def _is_renewal(
--- a/damaskcroft/fleet/_watch.py
+++ b/damaskcroft/fleet/_watch.py
@@ -9,7 +9,7 @@
 from damaskcroft.fleet._view import FleetView
 from damaskcroft.observe import log_event
 from damaskcroft.rpc import CALL_ERRORS, ChannelPool
-from damaskcroft.tasks import end_all
+from damaskcroft.tasks import cancel_all
 
 __all__ = ["UPDATE_EVERY_S", "Watcher"]
 
@@ -65,7 +65,7 @@
         try:
             await asyncio.Event().wait()
         finally:
-            await end_all(list(self._tasks_by_address.values()))
+            await cancel_all(list(self._tasks_by_address.values()))
 
     def follow(self, addresses: Iterable[str]) -> None:
         """Starts watching further control nodes."""
--- a/damaskcroft/fleet/tests/test_fuzz_restarts.py
+++ b/damaskcroft/fleet/tests/test_fuzz_restarts.py
@@ -10,7 +10,7 @@
 )
 
 from damaskcroft._generated import fleet_pb2
-from damaskcroft.fleet import TargetBook
+from damaskcroft.fleet import TargetRegistry
 
 READY, DRAINING, GONE = (
     fleet_pb2.TARGET_READY,
@@ -34,7 +34,7 @@
 
     def __init__(self):
         super().__init__()
-        self.registries = [TargetBook() for _ in range(NODES)]
+        self.registries = [TargetRegistry() for _ in range(NODES)]
         self.received = [[] for _ in range(NODES)]
         self.now_ms = 0
         self.newest_by_id = {}
--- a/damaskcroft/fleet/tests/test_fuzz_targets.py
+++ b/damaskcroft/fleet/tests/test_fuzz_targets.py
@@ -11,7 +11,7 @@
 )
 
 from damaskcroft._generated import fleet_pb2
-from damaskcroft.fleet import TargetBook
+from damaskcroft.fleet import TargetRegistry
 
 READY, DRAINING, GONE = (
     fleet_pb2.TARGET_READY,
@@ -28,7 +28,7 @@
 
     def __init__(self):
         super().__init__()
-        self.registry = TargetBook()
+        self.registry = TargetRegistry()
         self.start_count = 0
         # Last announcement of each running id.
         self.running = {}
--- a/damaskcroft/fleet/tests/test_restarted_targets.py
+++ b/damaskcroft/fleet/tests/test_restarted_targets.py
@@ -3,7 +3,11 @@
 import pytest
 
 from damaskcroft._generated import fleet_pb2
-from damaskcroft.fleet import FleetView, TargetBook, agents_by_target_address
+from damaskcroft.fleet import (
+    FleetView,
+    TargetRegistry,
+    agents_by_target_address,
+)
 
 READY, DRAINING, GONE = (
     fleet_pb2.TARGET_READY,
@@ -25,7 +29,7 @@
 
 @pytest.fixture
 def registry():
-    return TargetBook()
+    return TargetRegistry()
 
 
 def holders(registry):
--- a/damaskcroft/fleet/tests/test_routes.py
+++ b/damaskcroft/fleet/tests/test_routes.py
@@ -114,10 +114,10 @@
 def test_the_lookup_time_does_not_grow_with_the_routes():
     # Guards against a lookup time that grows with the number of routes: it was
     # 1.1 ms for each request of a host with 4,000 routes.
-    def quickest_s(count):
+    def shortest_delay_s(count):
         routes = [route(f"r{n}", f"/{n}/") for n in range(1000, 1000 + count)]
         table = RouteTable(configuration(*routes))
         path = f"/{1000 + count - 1}/x"
         return min(timeit.repeat(lambda: table.route("h", path), number=50))
 
-    assert quickest_s(4000) < 10 * quickest_s(4)
+    assert shortest_delay_s(4000) < 10 * shortest_delay_s(4)
--- a/damaskcroft/fleet/tests/test_targets.py
+++ b/damaskcroft/fleet/tests/test_targets.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from damaskcroft._generated import fleet_pb2
-from damaskcroft.fleet import TargetBook
+from damaskcroft.fleet import TargetRegistry
 
 
 def announcement(target_id, sequence, address="x:1", **fields):
@@ -18,21 +18,21 @@
 
 
 def test_an_older_announcement_has_no_effect():
-    registry = TargetBook()
+    registry = TargetRegistry()
     assert registry.take(announcement("a", 5, phase=fleet_pb2.TARGET_DRAINING))
     assert not registry.take(announcement("a", 4))
     assert registry.targets_by_id["a"].phase == fleet_pb2.TARGET_DRAINING
 
 
 def test_a_new_sequence_number_alone_is_no_change():
-    registry = TargetBook()
+    registry = TargetRegistry()
     assert registry.take(announcement("a", 1))
     assert not registry.take(announcement("a", 2))
     assert registry.take(announcement("a", 3, slots=4))
 
 
 def test_a_late_announcement_does_not_revive_a_target_that_left():
-    registry = TargetBook()
+    registry = TargetRegistry()
     registry.take(announcement("a", 1))
     assert registry.take(gone("a"))
     assert not registry.take(announcement("a", 9))
@@ -40,13 +40,13 @@
 
 
 def test_a_leave_received_first_keeps_the_target_out():
-    registry = TargetBook()
+    registry = TargetRegistry()
     registry.take(gone("a"))
     assert not registry.take(announcement("a", 9))
 
 
 def test_an_address_belongs_to_the_id_first_received_last():
-    registry = TargetBook()
+    registry = TargetRegistry()
     registry.take(announcement("old", 7))
     registry.take(announcement("new", 1))
     registry.take(announcement("old", 8))
@@ -56,7 +56,7 @@
 
 
 def test_a_demoted_id_yields_its_address_to_other_ids():
-    registry = TargetBook()
+    registry = TargetRegistry()
     registry.take(announcement("new", 5))
     registry.take(announcement("old", 7))
     registry.doubt("old")
@@ -85,7 +85,7 @@
     rng.shuffle(shuffled)
     registries = []
     for order in (announcements, shuffled):
-        registry = TargetBook()
+        registry = TargetRegistry()
         for state in order:
             registry.take(state)
         registries.append(registry)
--- a/damaskcroft/fleet/tests/test_turns.py
+++ b/damaskcroft/fleet/tests/test_turns.py
@@ -8,7 +8,7 @@
 
 from damaskcroft._generated import quarantine_grpc
 from damaskcroft.control import TurnsService
-from damaskcroft.fleet import FleetView, TurnTaker
+from damaskcroft.fleet import FleetView, TurnClient
 from damaskcroft.rpc import ChannelPool, Keys
 
 
@@ -36,7 +36,7 @@
             f"node-{n}": await stack.enter_async_context(ChannelFor([service]))
             for n, service in enumerate(services)
         }
-        client = TurnTaker(FleetView(), Channels(channels), channels)
+        client = TurnClient(FleetView(), Channels(channels), channels)
         granted = asyncio.Event()
         turn_task = asyncio.create_task(client.hold(b"bad", 5.0, granted.set))
         with contextlib.suppress(TimeoutError):
@@ -75,11 +75,11 @@
         except asyncio.CancelledError as error:
             raise ConnectionError("Connection lost") from error
 
-    monkeypatch.setattr(TurnTaker, "_hold_at", fails_when_cancelled)
+    monkeypatch.setattr(TurnClient, "_hold_at", fails_when_cancelled)
 
     async def scenario():
         channels = ChannelPool(Keys(None, None))
-        client = TurnTaker(FleetView(), channels, ["a:1", "b:1", "c:1"])
+        client = TurnClient(FleetView(), channels, ["a:1", "b:1", "c:1"])
         turn_task = asyncio.create_task(client.hold(b"bad", 1.0, lambda: None))
         await asyncio.sleep(0.1)
         turn_task.cancel()
--- a/damaskcroft/fleet/tests/test_view.py
+++ b/damaskcroft/fleet/tests/test_view.py
@@ -29,7 +29,7 @@
         view = FleetView()
         view.apply_update(fleet_pb2.FleetUpdate(goals=[desired_version(2)]))
         view.apply_update(fleet_pb2.FleetUpdate(goals=[desired_version(1)]))
-        assert view.goal_by_model["m"].version == 2
+        assert view.desired_version_by_model["m"].version == 2
 
     loop.run(scenario())
 
@@ -40,11 +40,11 @@
     async def scenario():
         view = FleetView()
         view.apply_update(fleet_pb2.FleetUpdate(goals=[desired_version(2)]))
-        assert view.due_version("m", 1e6) == 2
+        assert view.version_desired_for("m", 1e6) == 2
         report = desired_version(2, age_ms=1500)
         view.apply_update(fleet_pb2.FleetUpdate(goals=[report]))
-        assert view.due_version("m", 1.6) == 0
-        assert view.due_version("m", 1.4) == 2
+        assert view.version_desired_for("m", 1.6) == 0
+        assert view.version_desired_for("m", 1.4) == 2
 
     loop.run(scenario())
 
@@ -62,9 +62,9 @@
             fleet_pb2.FleetUpdate(goals=[desired_version(3, age_ms=0)])
         )
         await asyncio.sleep(6.5)
-        assert view.due_version("m", 8) == 2
+        assert view.version_desired_for("m", 8) == 2
         await asyncio.sleep(2)
-        assert view.due_version("m", 8) == 3
+        assert view.version_desired_for("m", 8) == 3
 
     loop.run(scenario())
 
@@ -76,8 +76,8 @@
         view.apply_update(fleet_pb2.FleetUpdate(served=[served]))
         await asyncio.sleep(100)
         assert view.served_by_model == {"m": 1}
-        assert view.due_version("m", 8) == 0
-        assert view.goal_since_by_model == {}
+        assert view.version_desired_for("m", 8) == 0
+        assert view.accepted_at_by_model == {}
 
     loop.run(scenario())
 
@@ -100,12 +100,12 @@
         view.apply_update(
             fleet_pb2.FleetUpdate(goals=[desired_version(2, age_ms=4000)])
         )
-        assert view.due_version("m", 3.9) == 2
+        assert view.version_desired_for("m", 3.9) == 2
         await asyncio.sleep(1)
         for late_report in (desired_version(2, age_ms=100), desired_version(2)):
             view.apply_update(fleet_pb2.FleetUpdate(goals=[late_report]))
-        assert view.due_version("m", 4.9) == 2
-        assert view.due_version("m", 5.1) == 0
+        assert view.version_desired_for("m", 4.9) == 2
+        assert view.version_desired_for("m", 5.1) == 0
 
     loop.run(scenario())
 
--- a/damaskcroft/forwarding/__init__.py
+++ b/damaskcroft/forwarding/__init__.py
@@ -2,8 +2,8 @@
 
 from damaskcroft.forwarding._call import (
     AnswerFacts,
+    AttemptMetadata,
     Call,
-    Passing,
     TargetLoad,
     Wire,
 )
@@ -27,7 +27,7 @@
     "Forwarder",
     "Interrupted",
     "Job",
-    "Passing",
+    "AttemptMetadata",
     "Ran",
     "Refused",
     "Services",
--- a/damaskcroft/forwarding/_allocator.py
+++ b/damaskcroft/forwarding/_allocator.py
@@ -99,8 +99,8 @@
                     reason,
                     Ran.NO,
                     detail,
-                    outcome.foreseen_s,
-                    spread_retry_after_s(outcome.returns_s),
+                    outcome.expected_wait_s,
+                    spread_retry_after_s(outcome.retry_in_s),
                 )
 
     def _ticket(self, job: Job, progress: Progress) -> QueueTicket:
@@ -109,7 +109,9 @@
             model=job.call.model,
             priority=job.priority,
             arrived_at=job.call.arrived_at,
-            goal_s=0 if progress.begun else job.route.latency_goal_ms / 1000,
+            latency_objective_s=0
+            if progress.begun
+            else job.route.latency_goal_ms / 1000,
             deadline_at=job.deadline_at,
             prompt_tokens=job.call.prompt_tokens,
             request_id=job.call.request_id,
@@ -155,7 +157,7 @@
         closed = self._availability.closed(*kind, 0)
         if closed is not None:
             return failed_ending(
-                closed.reason, progress, spread_retry_after_s(closed.returns_s)
+                closed.reason, progress, spread_retry_after_s(closed.retry_in_s)
             )
         has_candidates = bool(self._availability.candidates(*kind))
         if has_candidates or not self._services.may_serve_soon(*kind):
@@ -163,7 +165,7 @@
         outcome = await self.queue.take_slot(self._ticket(job, progress))
         if isinstance(outcome, Overloaded):
             reason = self.refine_reason(outcome.reason, job.service)
-            retry_after_s = spread_retry_after_s(outcome.returns_s)
+            retry_after_s = spread_retry_after_s(outcome.retry_in_s)
             return failed_ending(reason, progress, retry_after_s)
         if not self._spend_retry_budget(progress):
             outcome.slot.give_back()
@@ -233,7 +235,7 @@
             waiting: the attempt that is to be hedged.
             silent_ids: ids of the silent targets.
         """
-        if waiting.answer.caller_has_ended:
+        if waiting.answer.caller_has_half_closed:
             # The caller may have disconnected or only closed its sending side;
             # only a write to it would show which.
             return None
--- a/damaskcroft/forwarding/_attempt.py
+++ b/damaskcroft/forwarding/_attempt.py
@@ -10,7 +10,12 @@
 from collections.abc import AsyncIterator, Callable
 
 from damaskcroft.clock import now_s
-from damaskcroft.forwarding._call import AnswerFacts, Call, Passing, Wire
+from damaskcroft.forwarding._call import (
+    AnswerFacts,
+    AttemptMetadata,
+    Call,
+    Wire,
+)
 from damaskcroft.http1 import (
     ConnectionPool,
     CutShortError,
@@ -111,7 +116,7 @@
         pool: ConnectionPool,
         place: Place,
         call: Call,
-        passing: Passing,
+        passing: AttemptMetadata,
         on_data: Callable[[], None],
         why_not_send: Callable[[float], str | None],
         new_connection: bool,
@@ -276,7 +281,7 @@
     pool: ConnectionPool,
     place: Place,
     call: Call,
-    passing: Passing,
+    passing: AttemptMetadata,
     on_data: Callable[[], None],
     why_not_send: Callable[[float], str | None] = lambda _: None,
     *,
--- a/damaskcroft/forwarding/_availability.py
+++ b/damaskcroft/forwarding/_availability.py
@@ -8,7 +8,7 @@
 
 from damaskcroft.forwarding._services import Services
 from damaskcroft.limits import RateLimits
-from damaskcroft.routing import BackPressure, Candidate, Closed
+from damaskcroft.routing import BackPressure, Candidate, TargetsUnavailable
 
 __all__ = ["Availability", "spread_retry_after_s"]
 
@@ -50,17 +50,19 @@
         accepting = [
             candidate
             for candidate in candidates
-            if self._back_pressure.may_be_sent(candidate.id)
-            and not self._limits.waits_s(candidate.id)
+            if self._back_pressure.accepts_requests(candidate.id)
+            and not self._limits.time_to_send_s(candidate.id)
         ]
         staying = [
             candidate
             for candidate in accepting
-            if not self._back_pressure.is_leaving(candidate.id)
+            if not self._back_pressure.is_draining(candidate.id)
         ]
         return staying or accepting
 
-    def closed(self, service: str, model: str, before: int) -> Closed | None:
+    def closed(
+        self, service: str, model: str, before: int
+    ) -> TargetsUnavailable | None:
         """Why no target accepts a request; None if one does or none exists.
 
         Args:
@@ -73,29 +75,33 @@
         staying_ids = [
             candidate.id
             for candidate in self._services.candidates(service, model)
-            if not self._back_pressure.is_leaving(candidate.id)
+            if not self._back_pressure.is_draining(candidate.id)
         ]
         if not staying_ids:
             return None
         open_ids = [
             target_id
             for target_id in staying_ids
-            if not self._back_pressure.rests_s(target_id)
+            if not self._back_pressure.back_off_left_s(target_id)
         ]
         if not open_ids:
-            rests_s = min(map(self._back_pressure.rests_s, staying_ids))
-            return Closed("resting", rests_s, rests_s)
-        waits_s = min(map(self._limits.waits_s, open_ids))
-        returns_s = min(map(self._limits.returns_s, open_ids))
+            back_off_left_s = min(
+                map(self._back_pressure.back_off_left_s, staying_ids)
+            )
+            return TargetsUnavailable(
+                "resting", back_off_left_s, back_off_left_s
+            )
+        time_to_send_s = min(map(self._limits.time_to_send_s, open_ids))
+        retry_in_s = min(map(self._limits.retry_in_s, open_ids))
         share_s = sum(map(self._limits.share_s, open_ids))
         if before and share_s:
-            waits_s += before / share_s
-            returns_s += before / share_s
-        return Closed("rate_limited", waits_s, returns_s)
+            time_to_send_s += before / share_s
+            retry_in_s += before / share_s
+        return TargetsUnavailable("rate_limited", time_to_send_s, retry_in_s)
 
     @property
     def _has_restrictions(self) -> bool:
-        return self._back_pressure.is_any or self._limits.is_any
+        return self._back_pressure.is_active or self._limits.is_active
 
 
 def spread_retry_after_s(closed_s: float) -> float | None:
--- a/damaskcroft/forwarding/_call.py
+++ b/damaskcroft/forwarding/_call.py
@@ -4,9 +4,9 @@
 import dataclasses
 
 from damaskcroft.http1 import CallerRequest, Head, Headers
-from damaskcroft.limits import LimitWord, Unnamed
+from damaskcroft.limits import LimitHeader, Unnamed
 
-__all__ = ["AnswerFacts", "Call", "Passing", "TargetLoad", "Wire"]
+__all__ = ["AnswerFacts", "Call", "AttemptMetadata", "TargetLoad", "Wire"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -84,11 +84,11 @@
     misdirected: bool = False
     rest_s: float | None = None
     leaving: bool = False
-    limit: LimitWord = Unnamed()
+    limit: LimitHeader = Unnamed()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Passing:
+class AttemptMetadata:
     """Metadata of one attempt that is sent in addition to caller's headers.
 
     Attributes:
@@ -116,7 +116,7 @@
         """Decodes a caller's request; None if a header is malformed."""
 
     @abc.abstractmethod
-    def target_headers(self, call: Call, passing: Passing) -> Headers:
+    def target_headers(self, call: Call, passing: AttemptMetadata) -> Headers:
         """Encodes the headers of one attempt."""
 
     @abc.abstractmethod
--- a/damaskcroft/forwarding/_forwarder.py
+++ b/damaskcroft/forwarding/_forwarder.py
@@ -14,7 +14,7 @@
     open_attempt,
 )
 from damaskcroft.forwarding._availability import Availability
-from damaskcroft.forwarding._call import AnswerFacts, Passing, Wire
+from damaskcroft.forwarding._call import AnswerFacts, AttemptMetadata, Wire
 from damaskcroft.forwarding._hedge import Hedge, hedged
 from damaskcroft.forwarding._job import (
     DEADLINE,
@@ -146,7 +146,7 @@
             await asyncio.sleep(_CHECK_INTERVAL_S)
             self._queue.serve()
             self._suspects.check_crashes()
-            for wait in self._queue.newly_long():
+            for wait in self._queue.new_long_waits():
                 reason = self._allocator.refine_reason(
                     wait.reason, wait.ticket.service
                 )
@@ -163,7 +163,7 @@
             self._connections.drop(target_id)
         self._silent_ids = silent_ids
         for target_id in silent_ids:
-            if not self._outliers.is_aside(target_id):
+            if not self._outliers.is_ejected(target_id):
                 self._outliers.failed(target_id, certain=True)
         self._hedge(silent_ids)
 
@@ -219,7 +219,7 @@
         self, job: Job, progress: Progress, answer: Answer
     ) -> None:
         """Logs a connection that was closed by the caller or by our stop."""
-        if answer.caller_has_ended:
+        if answer.caller_has_half_closed:
             ended_by, reason = EndedBy.CALLER, "caller_left"
         else:
             ended_by, reason = EndedBy.ENTRY, "entry_ended"
@@ -324,7 +324,7 @@
         allocated_at = now_s()
         progress.excluded.add(target.id)
         progress.target_id = target.id
-        passing = Passing(
+        passing = AttemptMetadata(
             target_id=target.target_id,
             customer=job.customer,
             deadline_s=job.left_s,
@@ -463,9 +463,9 @@
         """Why a request must not be sent after connecting; None if it may."""
         if self._suspects.quarantined_s(job, progress):
             return QUARANTINED
-        if not self._back_pressure.may_be_sent(target.id):
+        if not self._back_pressure.accepts_requests(target.id):
             return _BACK_OFF
-        if not self._limits.may_still_be_sent(target.id, allocated_at):
+        if not self._limits.may_be_dispatched(target.id, allocated_at):
             return _RATE_LIMITED
         if not self._services.may_begin(
             job.service, job.call.model, target.id, connect_s
@@ -489,10 +489,10 @@
     def _record_first_output(self, dispatch: Dispatch, took_s: float) -> None:
         """Records how long a target took to begin its answer."""
         job = dispatch.job
-        self._queue.first_answered(job.service, took_s)
+        self._queue.record_first_answer(job.service, took_s)
         if job.call.prompt_tokens:
             objective_s = job.route.latency_goal_ms / 1000
-            self._placer.first_answered(took_s, objective_s)
+            self._placer.record_first_answer(took_s, objective_s)
 
     def _record_facts(
         self, target: Candidate, facts: AnswerFacts, sent_at: float
--- a/damaskcroft/forwarding/_gate.py
+++ b/damaskcroft/forwarding/_gate.py
@@ -31,7 +31,7 @@
     Headers,
 )
 from damaskcroft.observe import log_event, metrics
-from damaskcroft.routing import return_after_s
+from damaskcroft.routing import draw_retry_after_s
 
 __all__ = ["EntryGate"]
 
@@ -159,7 +159,7 @@
         try:
             ending = await self._forwarder.forward(admitted, answer)
         except asyncio.CancelledError:
-            if answer.caller_has_ended:
+            if answer.caller_has_half_closed:
                 metrics.REFUSALS.labels("caller_left", Ran.MAYBE.value).inc()
             raise
         match ending:
@@ -255,7 +255,7 @@
         if status == _NOT_RUN_STATUS:
             wait_s = refused.retry_after_s
             if wait_s is None:
-                wait_s = return_after_s(refused.foreseen_s, self._rng)
+                wait_s = draw_retry_after_s(refused.expected_wait_s, self._rng)
         metrics.REFUSALS.labels(refused.reason, refused.ran.value).inc()
         log_event(
             "refused",
@@ -267,7 +267,7 @@
             route=job.route.name if job else "",
             service=job.service if job else "",
             configuration=self._view.version,
-            heard_s=self._view.heard_s_ago,
+            heard_s=self._view.last_update_age_s,
             retry_after_s=wait_s,
         )
         headers = self._wire.refusal_headers(request_id, wait_s)
--- a/damaskcroft/forwarding/_job.py
+++ b/damaskcroft/forwarding/_job.py
@@ -50,14 +50,15 @@
         reason: a fixed word, also a counter's label.
         ran: whether it may have run at a target.
         detail: the cause in more detail, for the log.
-        foreseen_s: predicted time until a slot is free; 0 if unknown.
-        retry_after_s: known Retry-After; None to derive it from `foreseen_s`.
+        expected_wait_s: predicted time until a slot is free; 0 if unknown.
+        retry_after_s: known Retry-After; None to derive it from
+            `expected_wait_s`.
     """
 
     reason: str
     ran: Ran
     detail: str = ""
-    foreseen_s: float = 0.0
+    expected_wait_s: float = 0.0
     retry_after_s: float | None = None
 
 
--- a/damaskcroft/forwarding/_request_log.py
+++ b/damaskcroft/forwarding/_request_log.py
@@ -73,7 +73,7 @@
             service=job.service,
             left_s=job.left_s,
             fullness=self._placer.fullness(target),
-            answer_delay_s=self._delays.foreseen_s(target.id),
+            answer_delay_s=self._delays.expected_delay_s(target.id),
             begins_within_s=self._services.begins_within_s(
                 job.service, job.call.model, target.id
             ),
--- a/damaskcroft/forwarding/_services.py
+++ b/damaskcroft/forwarding/_services.py
@@ -11,9 +11,9 @@
 from damaskcroft.fleet import (
     FleetView,
     agents_by_target_address,
-    held_by,
+    complete_versions,
+    held_layers,
     start_id,
-    whole_versions,
 )
 from damaskcroft.routing import Candidate
 
@@ -139,9 +139,9 @@
             return False
         return start_id(state) != candidate.id != candidate.target_id
 
-    def is_leaving(self, candidate: Candidate) -> bool:
+    def is_draining(self, candidate: Candidate) -> bool:
         """Whether a start has announced its end, or has ended after that."""
-        return self._view.book.is_leaving(
+        return self._view.book.is_draining(
             candidate.target_id, candidate.born_ms
         )
 
@@ -221,13 +221,13 @@
         guarded = 0
         if agent is not None:
             guarded = self._view.guarded_version(agent.address, model)
-        due_soon = self._view.due_version(
+        due_soon = self._view.version_desired_for(
             model, self._weights_s - _UNGUARDED_MARGIN_S
         )
         if due_soon > guarded:
             return due_soon
         margin_s = self._margin_s(state, agent, connect_s)
-        return self._view.due_version(model, self._weights_s - margin_s)
+        return self._view.version_desired_for(model, self._weights_s - margin_s)
 
     def _margin_s(
         self,
@@ -257,7 +257,7 @@
         state = self._state(service, candidate_id)
         if state is None:
             return None
-        since_by_version = self._view.goal_since_by_model.get(model, {})
+        since_by_version = self._view.accepted_at_by_model.get(model, {})
         ends = [
             since + self._weights_s - now_s()
             for version, since in since_by_version.items()
@@ -269,7 +269,7 @@
         """Targets whose version is too old for a request to begin."""
         if not model or not self._weights_s:
             return set()
-        due = self._view.due_version(
+        due = self._view.version_desired_for(
             model, self._weights_s - _WITHDRAWAL_MARGIN_S
         )
         if not due:
@@ -306,9 +306,9 @@
         self, state: fleet_pb2.TargetState, model: str, min_version: int
     ) -> bool:
         layers = self._layers(state.service)
-        parts = held_by(state, self._agents_by_target.get(state.address))
+        parts = held_layers(state, self._agents_by_target.get(state.address))
         return any(
-            v >= min_version for v in whole_versions(parts, model, layers)
+            v >= min_version for v in complete_versions(parts, model, layers)
         )
 
     def _is_switching(self, state: fleet_pb2.TargetState) -> bool:
--- a/damaskcroft/forwarding/_suspects.py
+++ b/damaskcroft/forwarding/_suspects.py
@@ -22,13 +22,13 @@
 from damaskcroft.forwarding._services import Services
 from damaskcroft.observe import log_event, metrics
 from damaskcroft.quarantine import (
-    MOST_NOTED_BYTES,
-    Copies,
-    CrashBook,
-    CrashWatch,
+    MAX_RECORDED_BODY_BYTES,
+    CrashDetector,
+    CrashRegistry,
     HoldTurn,
-    Loss,
+    LostRequest,
     RecentAnswers,
+    SerialCopies,
 )
 from damaskcroft.routing import BackPressure, Candidate
 
@@ -68,7 +68,7 @@
 
     def __init__(
         self,
-        registry: CrashBook,
+        registry: CrashRegistry,
         services: Services,
         back_pressure: BackPressure,
         publish: Callable[[Iterable[quarantine_pb2.TargetCrash]], None],
@@ -78,12 +78,12 @@
         self._registry = registry
         self._services = services
         self._publish = publish
-        self._copies = Copies(registry, hold_turn)
+        self._copies = SerialCopies(registry, hold_turn)
         self._recent_answers = RecentAnswers()
-        self._watch: CrashWatch[Candidate] = CrashWatch(
+        self._watch: CrashDetector[Candidate] = CrashDetector(
             lambda target: (
-                services.is_leaving(target)
-                or back_pressure.is_leaving(target.id)
+                services.is_draining(target)
+                or back_pressure.is_draining(target.id)
             ),
             services.is_replaced,
             lambda crash: publish([crash]),
@@ -179,7 +179,7 @@
         was_suspect = self.is_suspect(job, progress)
         progress.chain += 1
         verdict = self._watch.lost(
-            Loss(
+            LostRequest(
                 target,
                 job.service,
                 _fingerprint(job, progress),
@@ -212,7 +212,7 @@
         Not to be called for failures, because the target may have failed
         before it reached the part that crashes.
         """
-        if len(job.call.body) <= MOST_NOTED_BYTES:
+        if len(job.call.body) <= MAX_RECORDED_BODY_BYTES:
             self._recent_answers.note(_fingerprint(job, progress))
         if not self.is_suspect(job, progress):
             return
--- a/damaskcroft/forwarding/tests/fakes.py
+++ b/damaskcroft/forwarding/tests/fakes.py
@@ -16,10 +16,10 @@
 )
 from damaskcroft.http1 import (
     ConnectionPool,
-    callers_served,
     retry_after_s,
+    serve_callers,
 )
-from damaskcroft.limits import RateLimits, limit_named
+from damaskcroft.limits import RateLimits, parse_limit
 from damaskcroft.routing import (
     AnswerDelays,
     BackPressure,
@@ -78,7 +78,7 @@
             misdirected=head.status == 421,
             rest_s=retry_after_s(head.value(b"x-rest")),
             leaving=bool(head.value(b"x-leaving")),
-            limit=limit_named(head.values(b"x-limit")),
+            limit=parse_limit(head.values(b"x-limit")),
         )
 
     def answer_headers(self, head):
@@ -362,13 +362,13 @@
         "d",
         "r",
         outliers,
-        takes_one=back_pressure.takes_one,
-        is_spared=limits.is_spared,
-        is_due=limits.is_due,
+        is_half_open=back_pressure.is_half_open,
+        is_deferred=limits.is_deferred,
+        is_probe_due=limits.is_probe_due,
     )
     wire = PlainWire()
     delays = AnswerDelays()
-    services = Services(view, {}, weights_s, delays.foreseen_s)
+    services = Services(view, {}, weights_s, delays.expected_delay_s)
     forwarder = Forwarder(
         wire,
         services,
@@ -386,11 +386,11 @@
             back_pressure,
             lambda crashes: view.take([], crashes=crashes),
         ),
-        view.doubt_target,
+        view.demote_target,
     )
     watching = asyncio.create_task(forwarder.run())
     gate = EntryGate(wire, view, forwarder)
-    async with callers_served("127.0.0.1:0", gate) as connections:
+    async with serve_callers("127.0.0.1:0", gate) as connections:
         yield Entry(view, gate, placer, services, connections.address)
     watching.cancel()
     for server in servers:
--- a/damaskcroft/forwarding/tests/test_explained.py
+++ b/damaskcroft/forwarding/tests/test_explained.py
@@ -7,7 +7,7 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from damaskcroft.ctl._log_lines import parsed
-from damaskcroft.ctl._why import story
+from damaskcroft.ctl._why import explain_request
 from damaskcroft.forwarding.tests.fakes import (
     FakeTarget,
     configuration,
@@ -151,14 +151,14 @@
 
 @then(parsers.parse('the cause names "{words}"'))
 def cause_contains(words, logs):
-    explanation = story("complaint-1", parsed(logs))
+    explanation = explain_request("complaint-1", parsed(logs))
     assert explanation[-1].startswith("cause: ")
     assert words in explanation[-1]
 
 
 @then("it names every target")
 def names_every_target(context, logs):
-    explanation = story("complaint-1", parsed(logs))
+    explanation = explain_request("complaint-1", parsed(logs))
     for target in context["targets"]:
         words = f"target {target.name} at {target.address} answered with 500"
         assert words in explanation[-1]
@@ -167,7 +167,7 @@
 @then("it names the caller's Retry-After")
 def names_retry_after(context, logs):
     wait_s = context["head"].split("retry-after: ")[1].split("\r\n")[0]
-    explanation = story("complaint-1", parsed(logs))
+    explanation = explain_request("complaint-1", parsed(logs))
     logged_s = explanation[-1].split("come back in ")[1].removesuffix(" s")
     assert round(float(logged_s), 2) == float(wait_s)
 
@@ -179,7 +179,7 @@
     )
     (line,) = parsed([text, "nonsense"])
     assert line.fields == {"a": 'b "c', "d": "1"}
-    assert story("unknown", [line]) == []
+    assert explain_request("unknown", [line]) == []
 
 
 def test_log_budget_is_separate_for_each_test(logs):
--- a/damaskcroft/forwarding/tests/test_forwarding.py
+++ b/damaskcroft/forwarding/tests/test_forwarding.py
@@ -6,7 +6,7 @@
 from prometheus_client import REGISTRY
 
 from damaskcroft._generated import fleet_pb2
-from damaskcroft.fleet import TargetBook
+from damaskcroft.fleet import TargetRegistry
 from damaskcroft.forwarding import _gate
 from damaskcroft.forwarding.tests.fakes import (
     EVENTS,
@@ -527,7 +527,7 @@
         target = FakeTarget("a", "whole")
         async with running_entry(target) as entry:
             known = list(entry.view.book.words())
-            entry.view.book = TargetBook()
+            entry.view.book = TargetRegistry()
             if missing == "targets":
                 entry.view.apply_configuration(NOT_REPEATABLE)
             asking = asyncio.create_task(entry.send_request())
--- a/damaskcroft/forwarding/tests/test_hedged_requests.py
+++ b/damaskcroft/forwarding/tests/test_hedged_requests.py
@@ -329,7 +329,7 @@
         forwarder = entry.gate._forwarder
         if any(entry.placer.fullness(c) for c in entry.candidates()):
             faults.append("a slot is held")
-        if forwarder._silence._seen_by_id or forwarder._running._dispatches:
+        if forwarder._silence._activity_by_id or forwarder._running._dispatches:
             faults.append("an attempt is still counted")
         arrivals = len(first.heads) + len(second.heads)
         if len(forwarder._retry_window._repeats) != max(0, arrivals - 1):
@@ -371,7 +371,7 @@
             async with asyncio.timeout(0.5):
                 while sum(target.disconnects for target in targets) < 2:
                     await asyncio.sleep(0.01)
-            assert not entry.gate._forwarder._silence._seen_by_id
+            assert not entry.gate._forwarder._silence._activity_by_id
 
     asyncio.run(scenario())
 
--- a/damaskcroft/forwarding/tests/test_services.py
+++ b/damaskcroft/forwarding/tests/test_services.py
@@ -53,8 +53,8 @@
             desired = fleet_pb2.WeightGoal(
                 model="m", version=2, age_ms=int(age_s * 1000)
             )
-            view.goal_by_model.clear()
-            view.goal_since_by_model.clear()
+            view.desired_version_by_model.clear()
+            view.accepted_at_by_model.clear()
             view.apply_update(fleet_pb2.FleetUpdate(goals=[desired]))
 
         announce_version(5.5)
@@ -136,7 +136,7 @@
         assert ids(services) == set()
         guard(view, "a", started=1)
         assert ids(services) == set()
-        view.goal_since_by_model["m"].pop(3)
+        view.accepted_at_by_model["m"].pop(3)
         assert ids(services) == {"a"}
 
     asyncio.run(scenario())
--- a/damaskcroft/hosted/agent.py
+++ b/damaskcroft/hosted/agent.py
@@ -10,14 +10,14 @@
     FleetAgent,
     FleetStager,
     FleetSwitcher,
-    guarded_goals,
+    guarded_versions,
 )
 from damaskcroft.fleet import FleetView, NodeSettings, Watcher
 from damaskcroft.hosted.seeds import follow_new_seeds
 from damaskcroft.observe import log_event
 from damaskcroft.platform.engine import PlatformEngine
 from damaskcroft.platform.origin import PlatformOrigin
-from damaskcroft.rpc import ChannelPool, Keys, grpc_served
+from damaskcroft.rpc import ChannelPool, Keys, serve_grpc
 from damaskcroft.tasks import background
 from damaskcroft.units import bytes_per_s
 from damaskcroft.weights import (
@@ -59,15 +59,15 @@
         settings,
         view,
         channels,
-        lambda: peers.quickest_part_s,
-        lambda: guarded_goals(view, settings.target_service, weights_s),
+        lambda: peers.shortest_part_s,
+        lambda: guarded_versions(view, settings.target_service, weights_s),
     )
     watcher = Watcher(
         view,
         channels,
         [settings.rpc_address_at(seed) for seed in settings.seeds],
         lambda: fleet_pb2.WatchRequest(
-            name=settings.name, agent=agent.known_state()
+            name=settings.name, agent=agent.announced_state()
         ),
         without_routes=True,
     )
@@ -93,18 +93,18 @@
             parallel_fetches=_PARALLEL_FETCHES,
             parallel_outside=1,
             wait_s=_STALL_TIMEOUT_S,
-            in_step=False,
+            paced_by_trees=False,
         ),
         weights_s,
     )
     switcher = FleetSwitcher(
-        agent, view, engine, stager, weights_s, lambda: peers.link_is_quick
+        agent, view, engine, stager, weights_s, lambda: peers.is_link_fast
     )
     chunks = ChunkServer(
         store, upload, _PARALLEL_UPLOADS, stager.counts, UploadRate(upload)
     )
     async with (
-        grpc_served(
+        serve_grpc(
             settings.rpc_address, [ChunkService(chunks)], Keys(None, None)
         ),
         background(
--- a/damaskcroft/hosted/control.py
+++ b/damaskcroft/hosted/control.py
@@ -28,8 +28,8 @@
 from damaskcroft.rpc import (
     ChannelPool,
     Keys,
-    grpc_served,
-    http_served,
+    serve_grpc,
+    serve_http,
 )
 from damaskcroft.tasks import background
 
@@ -119,12 +119,12 @@
         without_configuration=True,
     )
     async with (
-        grpc_served(
+        serve_grpc(
             settings.rpc_address,
             [
                 ReplicaService(replica),
                 service,
-                QuarantineService(view.crashes, service.tell_crashes),
+                QuarantineService(view.crashes, service.publish_crashes),
                 LimitsService(view.limits),
                 TurnsService(),
             ],
@@ -132,10 +132,10 @@
         ),
         background(watcher.run, recorder.run),
     ):
-        async with http_served(
+        async with serve_http(
             settings.control_address,
             control_routes(control),
-            notice_s=_notice_s(settings),
+            shutdown_notice_s=_notice_s(settings),
             end_s=settings.bounds.grace_s * _MAX_SHUTDOWN_SHARE,
         ) as control_server:
             await replica.start()
@@ -144,9 +144,9 @@
             )
             await stop.wait()
             log_event("stopping", role="control", leader=replica.is_leader)
-            control_server.give_notice()
-            await replica.hand_over(
-                _LEADERSHIP_TRANSFER_TIMEOUT_S, for_good=True
+            control_server.announce_shutdown()
+            await replica.transfer_leadership(
+                _LEADERSHIP_TRANSFER_TIMEOUT_S, before_shutdown=True
             )
         # The replica runs until here because puts that were already read are
         # forwarded to the leader.
--- a/damaskcroft/hosted/entry.py
+++ b/damaskcroft/hosted/entry.py
@@ -10,32 +10,32 @@
     FleetView,
     NodeSettings,
     Reporter,
-    TurnTaker,
+    TurnClient,
     Watcher,
 )
 from damaskcroft.forwarding import EntryGate, Forwarder, Services, Suspects
 from damaskcroft.hosted.seeds import follow_new_seeds
 from damaskcroft.http1 import (
     ConnectionPool,
-    EndTimes,
-    callers_served,
+    ShutdownTimes,
     drained,
+    serve_callers,
 )
 from damaskcroft.limits import RateLimits
 from damaskcroft.observe import log_event
 from damaskcroft.platform.ready_face import ready_routes
 from damaskcroft.platform.wire import PlatformWire
-from damaskcroft.quarantine import CrashBook
+from damaskcroft.quarantine import CrashRegistry
 from damaskcroft.routing import (
     AnswerDelays,
     BackPressure,
     Outliers,
-    PartedTargets,
+    PartitionedTargets,
     Placer,
     RetryWindow,
     SilenceWatch,
 )
-from damaskcroft.rpc import ChannelPool, Keys, http_served
+from damaskcroft.rpc import ChannelPool, Keys, serve_http
 from damaskcroft.tasks import background
 
 __all__ = ["serve"]
@@ -69,7 +69,7 @@
         OSError: an address can't be bound.
     """
     channels = ChannelPool(Keys(None, None))
-    view = FleetView(crashes=CrashBook(random.random()))
+    view = FleetView(crashes=CrashRegistry(random.random()))
     seeds = [settings.rpc_address_at(seed) for seed in settings.seeds]
     watcher = Watcher(
         view,
@@ -84,7 +84,10 @@
     )
     reporter = Reporter(view, channels, seeds)
     limits = RateLimits(
-        view.limits, settings.name, view.entry_names.names, reporter.tell_limits
+        view.limits,
+        settings.name,
+        view.entry_names.names,
+        reporter.report_limits,
     )
     outliers = Outliers()
     delays = AnswerDelays()
@@ -94,17 +97,19 @@
         settings.failure_domain,
         settings.region,
         outliers,
-        answer_delay_s=delays.quickest_s,
-        takes_one=back_pressure.takes_one,
-        is_spared=limits.is_spared,
-        is_due=limits.is_due,
-        is_own=PartedTargets(settings.name, view.entry_names.names).is_own,
+        answer_delay_s=delays.shortest_delay_s,
+        is_half_open=back_pressure.is_half_open,
+        is_deferred=limits.is_deferred,
+        is_probe_due=limits.is_probe_due,
+        is_assigned=PartitionedTargets(
+            settings.name, view.entry_names.names
+        ).is_assigned,
     )
     services = Services(
         view,
         settings.region_by_domain,
         bounds.weights_s,
-        delays.foreseen_s,
+        delays.expected_delay_s,
     )
     connections = ConnectionPool()
     retry_window = RetryWindow(
@@ -126,10 +131,10 @@
             view.crashes,
             services,
             back_pressure,
-            reporter.tell_crashes,
-            TurnTaker(view, channels, seeds).hold,
+            reporter.report_crashes,
+            TurnClient(view, channels, seeds).hold,
         ),
-        view.doubt_target,
+        view.demote_target,
     )
     gate = EntryGate(wire, view, forwarder)
 
@@ -139,30 +144,30 @@
     async def keep_clean() -> None:
         while True:
             await asyncio.sleep(_CLEANUP_INTERVAL_S)
-            connections.close_old()
+            connections.close_expired()
             live_start_ids = view.book.start_ids()
-            placer.forget_all_but(live_start_ids)
-            delays.forget_all_but(live_start_ids)
-            back_pressure.forget_all_but(live_start_ids)
-            limits.forget_all_but(live_start_ids)
-            view.limits.forget_all_but(live_start_ids)
-            view.crashes.forget_old()
+            placer.retain_only(live_start_ids)
+            delays.retain_only(live_start_ids)
+            back_pressure.retain_only(live_start_ids)
+            limits.retain_only(live_start_ids)
+            view.limits.retain_only(live_start_ids)
+            view.crashes.evict_expired()
             retry_window.entries = placer.entries = view.entries
 
     async def follow_limits() -> None:
-        last_count = view.wishes.count
+        last_count = view.desired_changed.count
         while True:
-            caller_server.note_limits()
-            last_count = await view.wishes.wait(last_count)
+            caller_server.apply_limits()
+            last_count = await view.desired_changed.wait(last_count)
 
     async with (
-        http_served(
+        serve_http(
             settings.ready_address,
             ready_routes(is_ready),
-            notice_s=_READY_SHUTDOWN_S,
+            shutdown_notice_s=_READY_SHUTDOWN_S,
             end_s=_READY_SHUTDOWN_S,
         ) as ready_server,
-        callers_served(settings.caller_address, gate) as caller_server,
+        serve_callers(settings.caller_address, gate) as caller_server,
         background(
             watcher.run,
             forwarder.run,
@@ -177,7 +182,7 @@
         await stop.wait()
         margin_s = _shutdown_margin_s(bounds.grace_s)
         gate.stop(bounds.grace_s - margin_s)
-        ready_server.give_notice()
+        ready_server.announce_shutdown()
         log_event("stopping", role="entry", answering=caller_server.answering)
         await drained(caller_server, _shutdown_times(bounds.grace_s, margin_s))
         log_event("drained", answering=caller_server.answering)
@@ -190,12 +195,12 @@
     return min(_SHUTDOWN_MARGIN_S, grace_s * _SHUTDOWN_MARGIN_SHARE)
 
 
-def _shutdown_times(grace_s: float, margin_s: float) -> EndTimes:
+def _shutdown_times(grace_s: float, margin_s: float) -> ShutdownTimes:
     """Shutdown times; listening goes on until the last connection ends."""
     within_s = grace_s - margin_s + margin_s * _FINAL_READ_SHARE
-    return EndTimes(
-        notice_s=min(_NOT_READY_NOTICE_S, within_s / 2),
-        listen_s=math.inf,
-        told_s=within_s - _LINGER_MARGIN_S,
+    return ShutdownTimes(
+        shutdown_notice_s=min(_NOT_READY_NOTICE_S, within_s / 2),
+        accept_s=math.inf,
+        close_wait_s=within_s - _LINGER_MARGIN_S,
         within_s=within_s,
     )
--- a/damaskcroft/hosted/process.py
+++ b/damaskcroft/hosted/process.py
@@ -15,9 +15,9 @@
 from damaskcroft.observe import log_event, start_logs
 from damaskcroft.platform.settings import SettingsFileError, load_node_settings
 from damaskcroft.rpc import (
-    end_now,
-    http_served,
-    start_failure_logged,
+    force_exit,
+    logging_start_failure,
+    serve_http,
     stop_event,
 )
 
@@ -65,7 +65,7 @@
         first_start=settings.first_start,
         seeds=",".join(settings.seeds),
     )
-    with start_failure_logged(OSError):
+    with logging_start_failure(OSError):
         run(_run(serve, settings, metrics_port))
     log_event("stopped", role=role)
 
@@ -85,7 +85,7 @@
         margin_s = min(
             _FORCED_EXIT_MARGIN_S, grace_s * _FORCED_EXIT_MARGIN_SHARE
         )
-        loop.call_later(grace_s - margin_s, end_now)
+        loop.call_later(grace_s - margin_s, force_exit)
 
     # A callback rather than a task: asyncio cancels tasks before the final
     # shutdown steps that this guards.
@@ -96,13 +96,15 @@
             await serve(settings, stop)
             return
         metrics_address = f"{settings.ip}:{metrics_port}"
-        async with http_served(
+        async with serve_http(
             metrics_address,
             [],
-            notice_s=_METRICS_SHUTDOWN_S,
+            shutdown_notice_s=_METRICS_SHUTDOWN_S,
             end_s=_METRICS_SHUTDOWN_S,
         ) as metrics_server:
-            stopping.add_done_callback(lambda _: metrics_server.give_notice())
+            stopping.add_done_callback(
+                lambda _: metrics_server.announce_shutdown()
+            )
             await serve(settings, stop)
 
 
--- a/damaskcroft/hosted/seeds.py
+++ b/damaskcroft/hosted/seeds.py
@@ -21,7 +21,7 @@
     """
     while True:
         await asyncio.sleep(_CHECK_INTERVAL_S)
-        if view.heard_s_ago <= _MAX_CONTROL_SILENCE_S:
+        if view.last_update_age_s <= _MAX_CONTROL_SILENCE_S:
             continue
         try:
             settings = load_node_settings()
--- a/damaskcroft/hosted/tests/test_processes.py
+++ b/damaskcroft/hosted/tests/test_processes.py
@@ -10,7 +10,7 @@
 import pytest
 
 from damaskcroft.ctl._log_lines import parsed
-from damaskcroft.ctl._why import story
+from damaskcroft.ctl._why import explain_request
 from damaskcroft.hosted.tests.deployment import (
     CONTROL_IPS,
     ENTRY_IP,
@@ -186,7 +186,9 @@
 
         await wait_until(back)
         lines = list(parsed(log.read_text().splitlines()))
-        sent, queued = (story(name, lines)[-1] for name in ("sent-1", "waits"))
+        sent, queued = (
+            explain_request(name, lines)[-1] for name in ("sent-1", "waits")
+        )
         assert sent.startswith(f"cause: sent to target i-1 at {TARGET_IP}:")
         assert queued.startswith("cause: waited in line at entry-14 since")
         assert sent.endswith("lost with it")
--- a/damaskcroft/hosted/tests/test_stopping_control.py
+++ b/damaskcroft/hosted/tests/test_stopping_control.py
@@ -17,7 +17,7 @@
     TARGET_IP,
     Deployment,
 )
-from damaskcroft.standins.kept_callers import asks_on
+from damaskcroft.standins.kept_callers import send_until_closed
 
 CALLERS_EACH = 10
 LOAD_S = 0.5
@@ -62,7 +62,7 @@
         ip = CONTROL_IPS[node]
         address = f"{ip}:{deployment.control}"
         callers = [
-            asyncio.create_task(asks_on(address, each, outcomes))
+            asyncio.create_task(send_until_closed(address, each, outcomes))
             for each in REQUESTS * CALLERS_EACH
         ]
         await asyncio.sleep(LOAD_S)
--- a/damaskcroft/hosted/tests/test_suspended.py
+++ b/damaskcroft/hosted/tests/test_suspended.py
@@ -78,9 +78,9 @@
         view = FleetView()
         goal = fleet_pb2.WeightGoal(model="m", version=2, age_ms=3100)
         view.apply_update(fleet_pb2.FleetUpdate(goals=[goal]))
-        versions.append(view.due_version("m", WEIGHTS_S))
+        versions.append(view.version_desired_for("m", WEIGHTS_S))
         machine.suspended_s = SUSPENDED_S
-        versions.append(view.due_version("m", WEIGHTS_S))
+        versions.append(view.version_desired_for("m", WEIGHTS_S))
 
     run_program(serve)
     assert versions == [0, 2]
--- a/damaskcroft/http1/__init__.py
+++ b/damaskcroft/http1/__init__.py
@@ -13,12 +13,6 @@
     TargetConnection,
 )
 from damaskcroft.http1._closing import Lingering, closing_answer
-from damaskcroft.http1._ending import (
-    EndTimes,
-    GracefulServer,
-    drained,
-    shut_down_server,
-)
 from damaskcroft.http1._exchange import (
     Answer,
     CallerHandler,
@@ -29,7 +23,13 @@
 from damaskcroft.http1._listening import stop_listening
 from damaskcroft.http1._pool import ConnectionPool, Place
 from damaskcroft.http1._retry_after import retry_after_s
-from damaskcroft.http1._server import CallerConnections, callers_served
+from damaskcroft.http1._server import CallerConnections, serve_callers
+from damaskcroft.http1._shutdown import (
+    GracefulServer,
+    ShutdownTimes,
+    drained,
+    shut_down_server,
+)
 
 __all__ = [
     "Answer",
@@ -41,7 +41,7 @@
     "ChannelLostError",
     "ConnectionPool",
     "CutShortError",
-    "EndTimes",
+    "ShutdownTimes",
     "GracefulServer",
     "Head",
     "Headers",
@@ -49,7 +49,7 @@
     "Lingering",
     "Place",
     "TargetConnection",
-    "callers_served",
+    "serve_callers",
     "connect",
     "closing_answer",
     "drained",
--- a/damaskcroft/http1/_exchange.py
+++ b/damaskcroft/http1/_exchange.py
@@ -75,7 +75,7 @@
         self.ended = False
 
     @property
-    def caller_has_ended(self) -> bool:
+    def caller_has_half_closed(self) -> bool:
         """Whether the caller has closed its side of the connection."""
         return self._channel.ended
 
--- a/damaskcroft/http1/_pool.py
+++ b/damaskcroft/http1/_pool.py
@@ -78,7 +78,7 @@
                 for connection in self._idle_by_place.pop(place):
                     connection.close()
 
-    def close_old(self) -> None:
+    def close_expired(self) -> None:
         """Closes connections that their targets are about to close."""
         now = asyncio.get_running_loop().time()
         for place, connections in list(self._idle_by_place.items()):
--- a/damaskcroft/http1/_server.py
+++ b/damaskcroft/http1/_server.py
@@ -10,18 +10,18 @@
 
 from damaskcroft.http1._channel import Channel, ChannelLostError
 from damaskcroft.http1._closing import Lingering, closing_answer
-from damaskcroft.http1._ending import (
-    IMMEDIATE_SHUTDOWN,
-    GracefulServer,
-    shut_down_server,
-)
 from damaskcroft.http1._exchange import Answer, CallerHandler, CallerRequest
 from damaskcroft.http1._idle_limits import IdleLimits
 from damaskcroft.http1._listening import stop_listening
 from damaskcroft.http1._reader import RequestReader
+from damaskcroft.http1._shutdown import (
+    IMMEDIATE_SHUTDOWN,
+    GracefulServer,
+    shut_down_server,
+)
 from damaskcroft.observe import log_warning, metrics
 
-__all__ = ["CallerConnections", "callers_served"]
+__all__ = ["CallerConnections", "serve_callers"]
 
 # Time between two interim answers that probe whether a caller that has
 # half-closed its connection still reads; covers one round trip, so that a
@@ -82,7 +82,7 @@
             if wait.idle_since <= until:
                 wait.task.cancel()
 
-    def note_limits(self) -> None:
+    def apply_limits(self) -> None:
         """Applies the handler's idle timeout; to be called at each change."""
         now = asyncio.get_running_loop().time()
         self._idle_limits.note(self._handler.limits().idle_timeout_s, now)
@@ -185,7 +185,7 @@
         self, reader: RequestReader, channel: Channel, idle_since: float
     ) -> bool:
         """Waits for a request; returns False if the connection should close."""
-        self.note_limits()
+        self.apply_limits()
         waiting = asyncio.create_task(reader.wait_for_first_byte())
         self._waits_by_channel[channel] = _IdleWait(waiting, idle_since)
         try:
@@ -358,7 +358,7 @@
 
 
 @contextlib.asynccontextmanager
-async def callers_served(
+async def serve_callers(
     address: str, handler: CallerHandler
 ) -> AsyncIterator[CallerConnections]:
     """Serves callers at `address` until the block ends.
--- a/damaskcroft/http1/_ending.py
+++ b/damaskcroft/http1/_shutdown.py
@@ -23,7 +23,7 @@
 __all__ = [
     "IMMEDIATE_SHUTDOWN",
     "MIN_IDLE_S",
-    "EndTimes",
+    "ShutdownTimes",
     "GracefulServer",
     "drained",
     "shut_down_server",
@@ -36,25 +36,25 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EndTimes:
+class ShutdownTimes:
     """Maximum lengths of the steps of a shutdown.
 
     Attributes:
-        notice_s: time from the notice to the end of the first step.
-        listen_s: time from the notice until connections are no longer
+        shutdown_notice_s: time from the notice to the end of the first step.
+        accept_s: time from the notice until connections are no longer
             accepted.
-        told_s: time from the call within which callers should have closed
+        close_wait_s: time from the call within which callers should have closed
             their connections if all connections are half closed.
         within_s: time from the call until remaining requests are cancelled.
     """
 
-    notice_s: float
-    listen_s: float
-    told_s: float
+    shutdown_notice_s: float
+    accept_s: float
+    close_wait_s: float
     within_s: float
 
 
-IMMEDIATE_SHUTDOWN = EndTimes(0.0, 0.0, 0.0, 0.0)
+IMMEDIATE_SHUTDOWN = ShutdownTimes(0.0, 0.0, 0.0, 0.0)
 
 
 class GracefulServer(abc.ABC):
@@ -71,7 +71,7 @@
     noticed_at: float | None = None
     queued = 0
 
-    def give_notice(self) -> None:
+    def announce_shutdown(self) -> None:
         """Makes each answer from now on the last one of its connection."""
         if self.noticed_at is None:
             self.noticed_at = asyncio.get_running_loop().time()
@@ -109,12 +109,14 @@
         """Cancels remaining requests, in bounded time."""
 
 
-async def drained(server: GracefulServer, times: EndTimes) -> None:
+async def drained(server: GracefulServer, times: ShutdownTimes) -> None:
     """Drains a server within the given times; cancels no requests."""
     await _drain_since(asyncio.get_running_loop().time(), server, times)
 
 
-async def shut_down_server(server: GracefulServer, times: EndTimes) -> None:
+async def shut_down_server(
+    server: GracefulServer, times: ShutdownTimes
+) -> None:
     """Shuts a server down; logs the requests cancelled and connections left."""
     loop = asyncio.get_running_loop()
     began_at = loop.time()
@@ -138,18 +140,18 @@
 
 
 async def _drain_since(
-    began_at: float, server: GracefulServer, times: EndTimes
+    began_at: float, server: GracefulServer, times: ShutdownTimes
 ) -> None:
     loop = asyncio.get_running_loop()
-    server.give_notice()
+    server.announce_shutdown()
     noticed_at = server.noticed_at or began_at
     while server.is_active and loop.time() - began_at < times.within_s:
         noticed_s = loop.time() - noticed_at
-        if noticed_s >= times.listen_s:
+        if noticed_s >= times.accept_s:
             await server.stop_listening()
-        if noticed_s >= times.notice_s:
+        if noticed_s >= times.shutdown_notice_s:
             server.close_idle(MIN_IDLE_S)
-        is_close_wait_over = loop.time() - began_at >= times.told_s
+        is_close_wait_over = loop.time() - began_at >= times.close_wait_s
         if is_close_wait_over and server.only_lingering_open:
             return
         await asyncio.sleep(_POLL_INTERVAL_S)
--- a/damaskcroft/http1/tests/conftest.py
+++ b/damaskcroft/http1/tests/conftest.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from damaskcroft.http1 import CallerHandler, CallerLimits, callers_served
+from damaskcroft.http1 import CallerHandler, CallerLimits, serve_callers
 
 LIMITS = CallerLimits(
     head_bytes=4096, body_bytes=10_000, head_timeout_s=0.2, idle_timeout_s=0.3
@@ -76,7 +76,7 @@
     @contextlib.asynccontextmanager
     async def serve():
         handler = EchoHandler()
-        async with callers_served("127.0.0.1:0", handler) as connections:
+        async with serve_callers("127.0.0.1:0", handler) as connections:
             callers = []
 
             async def call():
--- a/damaskcroft/http1/tests/test_changing_limits.py
+++ b/damaskcroft/http1/tests/test_changing_limits.py
@@ -51,7 +51,7 @@
 
 def change(handler, connections, limit_s):
     handler.limits_in_force = idle_limit(limit_s)
-    connections.note_limits()
+    connections.apply_limits()
 
 
 def test_a_longer_idle_limit_applies_to_idle_connections(run, served):
@@ -226,7 +226,7 @@
             handler.limits_in_force = dataclasses.replace(
                 GENEROUS_LIMITS, **smaller
             )
-            connections.note_limits()
+            connections.apply_limits()
             await asyncio.sleep(0.1)
             await caller.send(REQUEST_WITH_LONG_HEAD[first:])
             assert await caller.read_until(b"\r\n") == b"HTTP/1.1 200 \r\n"
--- a/damaskcroft/http1/tests/test_closing.py
+++ b/damaskcroft/http1/tests/test_closing.py
@@ -15,7 +15,7 @@
 import aiosonic
 import pytest
 
-from damaskcroft.http1 import CallerLimits, EndTimes, Lingering, drained
+from damaskcroft.http1 import CallerLimits, Lingering, ShutdownTimes, drained
 from damaskcroft.http1.tests.test_server import REQUEST, wait_until
 from damaskcroft.standins.late_callers import LateCallers
 
@@ -57,7 +57,7 @@
     async def scenario():
         async with served() as (handler, call, connections):
             caller = await open_idle_caller(call)
-            times = EndTimes(0.0, math.inf, 5.0, 5.0)
+            times = ShutdownTimes(0.0, math.inf, 5.0, 5.0)
             ending = asyncio.create_task(drained(connections, times))
             await asyncio.sleep(0.05)
             # The previous answer was sent 0.1 s ago.
@@ -78,7 +78,7 @@
         async with served() as (_, call, connections):
             caller = await call()
             await wait_until(lambda: connections.open_count)
-            times = EndTimes(0.0, math.inf, 5.0, 5.0)
+            times = ShutdownTimes(0.0, math.inf, 5.0, 5.0)
             ending = asyncio.create_task(drained(connections, times))
             await asyncio.sleep(0.1)
             await caller.send(REQUEST)
--- a/damaskcroft/http1/tests/test_ending.py
+++ b/damaskcroft/http1/tests/test_ending.py
@@ -4,9 +4,11 @@
 
 import pytest
 
-from damaskcroft.http1 import EndTimes, GracefulServer, shut_down_server
+from damaskcroft.http1 import GracefulServer, ShutdownTimes, shut_down_server
 
-TIMES = EndTimes(notice_s=1.0, listen_s=2.0, told_s=3.0, within_s=4.0)
+TIMES = ShutdownTimes(
+    shutdown_notice_s=1.0, accept_s=2.0, close_wait_s=3.0, within_s=4.0
+)
 
 
 class FakeServer(GracefulServer):
@@ -25,8 +27,8 @@
     def is_active(self):
         return self.open_count > 0
 
-    def give_notice(self):
-        super().give_notice()
+    def announce_shutdown(self):
+        super().announce_shutdown()
         self._note("notice")
 
     async def stop_listening(self):
--- a/damaskcroft/limits/__init__.py
+++ b/damaskcroft/limits/__init__.py
@@ -1,25 +1,25 @@
 """Rate limits that targets announce for all senders together."""
 
-from damaskcroft.limits._book import LimitBook
 from damaskcroft.limits._bucket import TokenBucket
-from damaskcroft.limits._named import (
-    LimitWord,
+from damaskcroft.limits._header import (
+    LimitHeader,
     Named,
     Unnamed,
     Unreadable,
-    limit_named,
+    parse_limit,
 )
-from damaskcroft.limits._paced import RateLimits
+from damaskcroft.limits._rate_limits import RateLimits
+from damaskcroft.limits._registry import LimitRegistry
 from damaskcroft.limits._shares import sending_share
 
 __all__ = [
-    "LimitBook",
-    "LimitWord",
+    "LimitRegistry",
+    "LimitHeader",
     "Named",
     "RateLimits",
     "TokenBucket",
     "Unnamed",
     "Unreadable",
-    "limit_named",
+    "parse_limit",
     "sending_share",
 ]
--- a/damaskcroft/limits/_named.py
+++ b/damaskcroft/limits/_header.py
@@ -4,7 +4,7 @@
 import re
 from collections.abc import Sequence
 
-__all__ = ["LimitWord", "Named", "Unnamed", "Unreadable", "limit_named"]
+__all__ = ["LimitHeader", "Named", "Unnamed", "Unreadable", "parse_limit"]
 
 _DECIMAL = re.compile(r"[0-9]+(\.[0-9]+)?", re.ASCII)
 # No target runs more requests a second than this: a larger number is a mistake.
@@ -31,10 +31,10 @@
     value: str
 
 
-LimitWord = Named | Unnamed | Unreadable
+LimitHeader = Named | Unnamed | Unreadable
 
 
-def limit_named(values: Sequence[str]) -> LimitWord:
+def parse_limit(values: Sequence[str]) -> LimitHeader:
     """Parses the values of the rate limit header.
 
     Args:
--- a/damaskcroft/limits/_paced.py
+++ b/damaskcroft/limits/_rate_limits.py
@@ -5,9 +5,9 @@
 
 from damaskcroft._generated import limits_pb2
 from damaskcroft.clock import now_s
-from damaskcroft.limits._book import LimitBook
 from damaskcroft.limits._bucket import TokenBucket
-from damaskcroft.limits._named import LimitWord
+from damaskcroft.limits._header import LimitHeader
+from damaskcroft.limits._registry import LimitRegistry
 from damaskcroft.limits._shares import MIN_RATE_S, sending_share
 
 __all__ = ["RateLimits"]
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        book: LimitBook,
+        book: LimitRegistry,
         own_name: str,
         entries: Callable[[], frozenset[str]],
         publish: Callable[[Iterable[limits_pb2.NamedLimit]], object],
@@ -75,12 +75,12 @@
         self._shares_by_start: dict[str, _Share] = {}
 
     @property
-    def is_any(self) -> bool:
+    def is_active(self) -> bool:
         """Whether any target has a rate limit; a constant-time check."""
-        return self._book.is_any
+        return self._book.is_active
 
     def answered(
-        self, start_id: str, header: LimitWord, sent_at: float
+        self, start_id: str, header: LimitHeader, sent_at: float
     ) -> None:
         """Records the rate limit in an answer's header.
 
@@ -93,7 +93,7 @@
         if change is not None:
             self._publish([change])
 
-    def waits_s(self, start_id: str) -> float:
+    def time_to_send_s(self, start_id: str) -> float:
         """Returns the time until this entry may send a target a request.
 
         Returns:
@@ -109,29 +109,29 @@
         share = self._current_share(start_id)
         return math.inf if share is None else share.share_s
 
-    def returns_s(self, start_id: str) -> float:
+    def retry_in_s(self, start_id: str) -> float:
         """Predicts the time until a target accepts a request of any entry."""
-        waits_s = self.waits_s(start_id)
-        if math.isfinite(waits_s):
-            return waits_s
+        time_to_send_s = self.time_to_send_s(start_id)
+        if math.isfinite(time_to_send_s):
+            return time_to_send_s
         return 1 / max(self._book.rate_s(start_id), MIN_RATE_S)
 
-    def is_spared(self, start_id: str) -> bool:
+    def is_deferred(self, start_id: str) -> bool:
         """Whether other targets with room are preferred to a limited one."""
-        if not self.is_any:
+        if not self.is_active:
             return False
         share = self._current_share(start_id)
         return share is not None and now_s() - share.sent_at < _PROBE_INTERVAL_S
 
-    def is_due(self, start_id: str) -> bool:
+    def is_probe_due(self, start_id: str) -> bool:
         """Whether a limited target is preferred to others with room.
 
         If this were left to chance, it might get no request, and the end of its
         limit go unnoticed, for a long time.
         """
-        if not self.is_any or self._current_share(start_id) is None:
+        if not self.is_active or self._current_share(start_id) is None:
             return False
-        return not self.is_spared(start_id)
+        return not self.is_deferred(start_id)
 
     def sending(self, start_id: str) -> None:
         """Takes a token for a request that is about to be sent."""
@@ -142,7 +142,7 @@
         if share.bucket is not None:
             share.bucket.take()
 
-    def may_still_be_sent(self, start_id: str, since: float) -> bool:
+    def may_be_dispatched(self, start_id: str, since: float) -> bool:
         """Whether a request may be sent whose slot was taken at a given time.
 
         If a limit was first received after that, the request has no token yet
@@ -152,14 +152,14 @@
             start_id: id of the target's start.
             since: loop time at which the slot was taken.
         """
-        if since >= self._book.limited_since(start_id) or not self.is_any:
+        if since >= self._book.limited_since(start_id) or not self.is_active:
             return True
-        if self.waits_s(start_id) > 0:
+        if self.time_to_send_s(start_id) > 0:
             return False
         self.sending(start_id)
         return True
 
-    def forget_all_but(self, start_ids: Iterable[str]) -> None:
+    def retain_only(self, start_ids: Iterable[str]) -> None:
         """Drops the shares of targets that are gone."""
         for start in self._shares_by_start.keys() - set(start_ids):
             del self._shares_by_start[start]
--- a/damaskcroft/limits/_book.py
+++ b/damaskcroft/limits/_registry.py
@@ -13,10 +13,10 @@
 
 from damaskcroft._generated import limits_pb2
 from damaskcroft.clock import now_s
-from damaskcroft.limits._named import LimitWord, Named, Unreadable
+from damaskcroft.limits._header import LimitHeader, Named, Unreadable
 from damaskcroft.observe import log_event, metrics
 
-__all__ = ["LimitBook"]
+__all__ = ["LimitRegistry"]
 
 # Relative change of a limit below which it is not published.
 _MIN_RELATIVE_CHANGE = 0.1
@@ -67,7 +67,7 @@
         return initial_rate_s * 2 ** (age_s // _RAMP_DOUBLING_S)
 
 
-class LimitBook:
+class LimitRegistry:
     """Rate limits by the start of the target that announced them."""
 
     def __init__(self) -> None:
@@ -77,7 +77,7 @@
         self._limited_starts: set[str] = set()
 
     @property
-    def is_any(self) -> bool:
+    def is_active(self) -> bool:
         """Whether any limit is in effect; a constant-time check."""
         return bool(self._limited_starts)
 
@@ -100,7 +100,7 @@
     # --- Answers --------------------------------------------------------------
 
     def change(
-        self, start_id: str, header: LimitWord, sent_at: float
+        self, start_id: str, header: LimitHeader, sent_at: float
     ) -> limits_pb2.NamedLimit | None:
         """Returns the change by an answer, to be merged here and published.
 
@@ -184,7 +184,7 @@
 
     # --- Expiry ---------------------------------------------------------------
 
-    def forget_all_but(self, start_ids: Collection[str]) -> None:
+    def retain_only(self, start_ids: Collection[str]) -> None:
         """Drops limits of targets that are gone, and those that have ended."""
         if not self._limits_by_start:
             return
--- a/damaskcroft/limits/tests/plays.py
+++ b/damaskcroft/limits/tests/simulation.py
@@ -1,6 +1,6 @@
 """Simulation of entries that share one target's rate limit, in virtual time.
 
-    python -m damaskcroft.limits.tests.plays
+    python -m damaskcroft.limits.tests.simulation
 
 prints, for each policy and fleet: the maximum number of requests in any four
 seconds, the number allowed, and the used share of the announced rate.
--- a/damaskcroft/limits/tests/test_named.py
+++ b/damaskcroft/limits/tests/test_header.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from damaskcroft.limits import Named, Unnamed, Unreadable, limit_named
+from damaskcroft.limits import Named, Unnamed, Unreadable, parse_limit
 
 
 @pytest.mark.parametrize(
@@ -10,11 +10,11 @@
     [("2", 2.0), ("1.8", 1.8), ("0", 0.0), ("0.05", 0.05), (" 3 ", 3.0)],
 )
 def test_decimal_numbers_are_limits(value, rate_s):
-    assert limit_named([value]) == Named(rate_s)
+    assert parse_limit([value]) == Named(rate_s)
 
 
 def test_without_a_header_no_limit_is_announced():
-    assert limit_named([]) == Unnamed()
+    assert parse_limit([]) == Unnamed()
 
 
 @pytest.mark.parametrize(
@@ -25,8 +25,8 @@
     ],
 )  # fmt: skip
 def test_other_values_are_unreadable(value):
-    assert isinstance(limit_named([value]), Unreadable)
+    assert isinstance(parse_limit([value]), Unreadable)
 
 
 def test_two_headers_are_unreadable():
-    assert isinstance(limit_named(["1", "2"]), Unreadable)
+    assert isinstance(parse_limit(["1", "2"]), Unreadable)
--- a/damaskcroft/limits/tests/test_paced.py
+++ b/damaskcroft/limits/tests/test_rate_limits.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from damaskcroft.limits import LimitBook, Named, RateLimits, Unnamed
+from damaskcroft.limits import LimitRegistry, Named, RateLimits, Unnamed
 
 
 class Entry:
     """The rate limits of one entry, next to other entries by name."""
 
     def __init__(self, *others):
-        self.book = LimitBook()
+        self.book = LimitRegistry()
         self.others = frozenset(others)
         self.limits = RateLimits(
             self.book, "own", lambda: self.others, self.book.take_all
@@ -26,7 +26,7 @@
         sent = 0
         for _ in range(int(seconds * 50)):
             await asyncio.sleep(0.02)
-            if not self.limits.waits_s(start):
+            if not self.limits.time_to_send_s(start):
                 self.limits.sending(start)
                 sent += 1
         return sent
@@ -39,11 +39,11 @@
 
 def test_without_a_limit_no_request_waits(loop, entry):
     async def scenario():
-        assert not entry.limits.is_any
-        assert entry.limits.waits_s("t@1") == 0.0
+        assert not entry.limits.is_active
+        assert entry.limits.time_to_send_s("t@1") == 0.0
         entry.announce(2.0)
-        assert entry.limits.waits_s("t@2") == 0.0
-        assert not entry.limits.is_spared("t@2")
+        assert entry.limits.time_to_send_s("t@2") == 0.0
+        assert not entry.limits.is_deferred("t@2")
 
     loop.run(scenario())
 
@@ -52,7 +52,7 @@
     async def scenario():
         entry.announce(2.0)
         # Buckets start empty, so that a restart doesn't cause a burst.
-        assert entry.limits.waits_s("t@1") == pytest.approx(0.5)
+        assert entry.limits.time_to_send_s("t@1") == pytest.approx(0.5)
         assert 38 <= await entry.sent_in(20) <= 40
         await asyncio.sleep(60)
         assert await entry.sent_in(1) <= 3
@@ -76,10 +76,12 @@
         starts = [f"t{n}@1" for n in range(100)]
         for start in starts:
             entry.announce(1.0, start)
-        own = [s for s in starts if math.isfinite(entry.limits.waits_s(s))]
+        own = [
+            s for s in starts if math.isfinite(entry.limits.time_to_send_s(s))
+        ]
         assert 5 <= len(own) <= 50
         (other, *_) = set(starts) - set(own)
-        assert entry.limits.returns_s(other) == 1.0
+        assert entry.limits.retry_in_s(other) == 1.0
 
     loop.run(scenario())
 
@@ -90,13 +92,13 @@
         taken_at = asyncio.get_running_loop().time()
         await asyncio.sleep(0.1)
         entry.announce(2.0)
-        assert not entry.limits.may_still_be_sent("t@1", taken_at)
+        assert not entry.limits.may_be_dispatched("t@1", taken_at)
         await asyncio.sleep(0.6)
-        assert entry.limits.may_still_be_sent("t@1", taken_at)
-        assert not entry.limits.may_still_be_sent("t@1", taken_at)
+        assert entry.limits.may_be_dispatched("t@1", taken_at)
+        assert not entry.limits.may_be_dispatched("t@1", taken_at)
         later = asyncio.get_running_loop().time()
-        assert entry.limits.may_still_be_sent("t@1", later)
-        assert entry.limits.may_still_be_sent("t@2", taken_at)
+        assert entry.limits.may_be_dispatched("t@1", later)
+        assert entry.limits.may_be_dispatched("t@2", taken_at)
 
     loop.run(scenario())
 
@@ -104,11 +106,11 @@
 def test_a_limited_target_is_spared_only_for_the_probe_interval(loop, entry):
     async def scenario():
         entry.announce(2.0)
-        assert not entry.limits.is_spared("t@1")
+        assert not entry.limits.is_deferred("t@1")
         entry.limits.sending("t@1")
-        assert entry.limits.is_spared("t@1")
+        assert entry.limits.is_deferred("t@1")
         await asyncio.sleep(3)
-        assert not entry.limits.is_spared("t@1")
+        assert not entry.limits.is_deferred("t@1")
 
     loop.run(scenario())
 
@@ -117,14 +119,14 @@
     # Guards against a rate limit whose end goes unnoticed, because no request
     # is sent to its target.
     async def scenario():
-        assert not entry.limits.is_due("t@1")
+        assert not entry.limits.is_probe_due("t@1")
         entry.announce(2.0)
-        assert entry.limits.is_due("t@1")
-        assert not entry.limits.is_due("t@2")
+        assert entry.limits.is_probe_due("t@1")
+        assert not entry.limits.is_probe_due("t@2")
         entry.limits.sending("t@1")
-        assert not entry.limits.is_due("t@1")
+        assert not entry.limits.is_probe_due("t@1")
         await asyncio.sleep(3)
-        assert entry.limits.is_due("t@1")
+        assert entry.limits.is_probe_due("t@1")
 
     loop.run(scenario())
 
--- a/damaskcroft/limits/tests/test_book.py
+++ b/damaskcroft/limits/tests/test_registry.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from damaskcroft._generated import limits_pb2
-from damaskcroft.limits import LimitBook, Named, Unnamed, Unreadable
+from damaskcroft.limits import LimitRegistry, Named, Unnamed, Unreadable
 from damaskcroft.standins.virtual_time import VirtualTimeLoop
 
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def registry():
-    return LimitBook()
+    return LimitRegistry()
 
 
 @pytest.fixture
@@ -82,7 +82,7 @@
 ):
     async def scenario():
         assert answered(Unreadable("nan")) == []
-        assert not registry.is_any
+        assert not registry.is_active
         answered(Named(2.0))
         await asyncio.sleep(1)
         assert answered(Unreadable("inf"), sent_at=1.0) == []
@@ -97,10 +97,10 @@
         await asyncio.sleep(1)
         answered(Unnamed(), sent_at=1.0)
         rates = []
-        while registry.is_any:
+        while registry.is_active:
             rates.append(registry.rate_s("t@1"))
             await asyncio.sleep(0.5)
-            registry.forget_all_but({"t@1"})
+            registry.retain_only({"t@1"})
         assert rates[:3] == [2.0, 4.0, 8.0]
         assert registry.rate_s("t@1") == math.inf
 
@@ -117,7 +117,7 @@
             announcement(3.0, 3, lifted=True),
             announcement(5.0, 3),
         ]
-        registry = LimitBook()
+        registry = LimitRegistry()
         registry.take_all(all_limits[n] for n in order)
         assert registry.rate_s("t@1") == 5.0
 
@@ -142,11 +142,11 @@
         registry.take_all(
             [announcement(2.0, start="a"), announcement(2.0, start="b")]
         )
-        registry.forget_all_but({"a"})
+        registry.retain_only({"a"})
         # The announcement of the target may arrive later than its limit.
         assert registry.rate_s("b") == 2.0
         await asyncio.sleep(120)
-        registry.forget_all_but({"a"})
+        registry.retain_only({"a"})
         assert [each.start_id for each in registry.words()] == ["a"]
 
     loop.run(scenario())
--- a/damaskcroft/limits/tests/test_shares.py
+++ b/damaskcroft/limits/tests/test_shares.py
@@ -3,7 +3,11 @@
 import pytest
 
 from damaskcroft.limits import sending_share
-from damaskcroft.limits.tests.plays import allowed_requests, demand_of, simulate
+from damaskcroft.limits.tests.simulation import (
+    allowed_requests,
+    demand_of,
+    simulate,
+)
 
 
 @pytest.mark.parametrize("entries", [1, 2, 4, 15, 350])
--- a/damaskcroft/membership/__init__.py
+++ b/damaskcroft/membership/__init__.py
@@ -12,7 +12,7 @@
 from damaskcroft.membership._holders import HolderTable
 from damaskcroft.membership._lease import Lease
 from damaskcroft.membership._ledger import HolderEntry, LeaseLedger
-from damaskcroft.membership._reports import held_up_word
+from damaskcroft.membership._reports import held_up_reason
 from damaskcroft.membership._roster import Roster
 
 __all__ = [
@@ -22,5 +22,5 @@
     "LeaseClient",
     "LeaseLedger",
     "Roster",
-    "held_up_word",
+    "held_up_reason",
 ]
--- a/damaskcroft/membership/_client.py
+++ b/damaskcroft/membership/_client.py
@@ -57,7 +57,7 @@
         self._granted_revision = 0
         self._next_address = 0
 
-    def report_soon(self) -> None:
+    def renew_now(self) -> None:
         """Sends the next renewal at once because the report has changed."""
         self._renewal_requested.set()
 
--- a/damaskcroft/membership/_ledger.py
+++ b/damaskcroft/membership/_ledger.py
@@ -10,7 +10,7 @@
 
 from damaskcroft._generated import control_pb2, quarantine_pb2
 from damaskcroft.clock import now_s
-from damaskcroft.quarantine import CrashBook
+from damaskcroft.quarantine import CrashRegistry
 
 
 class HolderEntry:
@@ -51,7 +51,7 @@
         self.sequence = 0
         self.changed = asyncio.Condition()
         # Kept across terms, because what is known of a crash stays true.
-        self.crashes = CrashBook()
+        self.crashes = CrashRegistry()
         self._crashes_sequence = 0
         self._term = -1
         self._term_began_at = float("inf")
--- a/damaskcroft/membership/_reports.py
+++ b/damaskcroft/membership/_reports.py
@@ -2,10 +2,10 @@
 
 from damaskcroft._generated import control_pb2
 
-__all__ = ["held_up_word"]
+__all__ = ["held_up_reason"]
 
 
-def held_up_word(reason: control_pb2.HeldUpBy) -> str:
+def held_up_reason(reason: control_pb2.HeldUpBy) -> str:
     """Returns why an order is held up, such as `target_unreachable`.
 
     Logs and metrics use this form.
--- a/damaskcroft/membership/_roster.py
+++ b/damaskcroft/membership/_roster.py
@@ -7,7 +7,7 @@
 import asyncio
 
 from damaskcroft._generated import control_pb2, records_pb2
-from damaskcroft.quarantine import CrashBook
+from damaskcroft.quarantine import CrashRegistry
 
 
 class Roster:
@@ -21,11 +21,11 @@
         self.holders_by_id: dict[str, control_pb2.Announcement] = {}
         self.reports_by_id: dict[str, control_pb2.TargetReport] = {}
         self.lapsed_ids: set[str] = set()
-        self.crashes = CrashBook()
+        self.crashes = CrashRegistry()
         self.changed = asyncio.Condition()
 
     @property
-    def has_view(self) -> bool:
+    def has_received_state(self) -> bool:
         """Whether any delta was received; the first one has the whole state."""
         return self.revision > 0
 
@@ -70,7 +70,7 @@
             and holder.id not in self.lapsed_ids
         ]
 
-    def live_entries(self) -> int:
+    def count_live_entries(self) -> int:
         """Returns the number of entries that hold a lease, at least 1."""
         entries = [
             holder
--- a/damaskcroft/observe/metrics.py
+++ b/damaskcroft/observe/metrics.py
@@ -23,10 +23,10 @@
     "ELECTIONS",
     "FIRST_TOKEN_S",
     "GATE_REFUSALS",
-    "HANDOVERS",
+    "LEADERSHIP_TRANSFERS",
     "HOLDERS_LAPSED",
     "IN_FORCE_S",
-    "LATE_DROPPED",
+    "ANSWERS_DROPPED",
     "LEASE_LAPSES",
     "ORDERS",
     "ORDER_HELD_UP_S",
@@ -35,7 +35,7 @@
     "REFUSALS",
     "RETRIES",
     "ROLLOUT_WAITS_S",
-    "TARGETS_LEFT_ALONE",
+    "TARGETS_AVOIDED",
     "TARGETS_LIMITED",
     "TARGET_CRASHES",
     "TARGET_LIMIT_CHANGES",
@@ -65,7 +65,7 @@
     "damask_target_crashes", "Targets that crashed under requests of this "
     "entry, by what showed it", ["how"],
 )  # fmt: skip
-TARGETS_LEFT_ALONE = Counter(
+TARGETS_AVOIDED = Counter(
     "damask_targets_left_alone", "Targets that asked in an answer for rest, "
     "or said that they leave", ["why"],
 )  # fmt: skip
@@ -81,7 +81,7 @@
     "damask_quarantine", "Decisions on requests that crash targets",
     ["decision"],
 )  # fmt: skip
-UNUSABLE_WORDS = Counter(
+INVALID_ANNOUNCEMENTS = Counter(
     "damask_unusable_words", "Words of targets that changed nothing, by fault",
     ["kind", "reason"],
 )  # fmt: skip
@@ -93,7 +93,7 @@
     "damask_idle_connections_closed",
     "Idle connections that we ended, and those that bytes crossed", ["how"],
 )  # fmt: skip
-LATE_DROPPED = Counter(
+ANSWERS_DROPPED = Counter(
     "damask_answers_dropped", "Late or crossed answers dropped", ["reason"]
 )
 QUEUE_WAIT_S = Histogram(
@@ -155,7 +155,7 @@
     "damask_control_refusals", "Changes and reads that this control node could "
     "not answer, by reason", ["call", "reason"],
 )  # fmt: skip
-HANDOVERS = Counter(
+LEADERSHIP_TRANSFERS = Counter(
     "damask_handovers", "Leaders that were to hand over, by outcome",
     ["outcome"],
 )  # fmt: skip
--- a/damaskcroft/platform/announcements.py
+++ b/damaskcroft/platform/announcements.py
@@ -11,7 +11,7 @@
 
 from damaskcroft._generated import fleet_pb2
 from damaskcroft.engines import EngineReport
-from damaskcroft.fleet import Unusable
+from damaskcroft.fleet import InvalidAnnouncement
 
 __all__ = ["decode_announcement", "decode_leave", "decode_report"]
 
@@ -75,17 +75,19 @@
 
 def decode_announcement(
     target_id: str, body: bytes
-) -> fleet_pb2.TargetState | Unusable:
+) -> fleet_pb2.TargetState | InvalidAnnouncement:
     """Decodes an announcement of a target.
 
     Only the form is checked here; `damaskcroft.fleet.checked` validates values.
     """
     message = _decode(body, _ANNOUNCEMENT_DECODER)
-    if isinstance(message, Unusable):
+    if isinstance(message, InvalidAnnouncement):
         return message
     phase = _PHASES_BY_STATE.get(message.state)
     if phase is None:
-        return Unusable("unknown_state", message.state[:_MAX_DETAIL_CHARS])
+        return InvalidAnnouncement(
+            "unknown_state", message.state[:_MAX_DETAIL_CHARS]
+        )
     try:
         return fleet_pb2.TargetState(
             id=target_id,
@@ -100,34 +102,38 @@
             born_ms=message.born,
         )
     except ValueError as error:
-        return Unusable("out_of_range", str(error)[:_MAX_DETAIL_CHARS])
+        return InvalidAnnouncement(
+            "out_of_range", str(error)[:_MAX_DETAIL_CHARS]
+        )
 
 
 def decode_leave(
     target_id: str, body: bytes
-) -> fleet_pb2.TargetState | Unusable:
+) -> fleet_pb2.TargetState | InvalidAnnouncement:
     """Decodes which start of a target ends; older senders send no body."""
     message = _decode(body or b"{}", _LEAVE_DECODER)
-    if isinstance(message, Unusable):
+    if isinstance(message, InvalidAnnouncement):
         return message
     if not 0 <= message.born <= _MAX_UINT64:
-        return Unusable("out_of_range", f"born {message.born}")
+        return InvalidAnnouncement("out_of_range", f"born {message.born}")
     return fleet_pb2.TargetState(
         id=target_id, phase=fleet_pb2.TARGET_GONE, born_ms=message.born
     )
 
 
-def decode_report(body: bytes) -> EngineReport | Unusable:
+def decode_report(body: bytes) -> EngineReport | InvalidAnnouncement:
     """Decodes a status report that a target sends to its agent."""
     message = _decode(body, _REPORT_DECODER)
-    if isinstance(message, Unusable):
+    if isinstance(message, InvalidAnnouncement):
         return message
     if min(message.sequence, message.active, message.queued, message.born) < 0:
-        return Unusable("out_of_range", "negative count")
+        return InvalidAnnouncement("out_of_range", "negative count")
     try:
         held = tuple(_held_layers(message))
     except ValueError as error:
-        return Unusable("out_of_range", str(error)[:_MAX_DETAIL_CHARS])
+        return InvalidAnnouncement(
+            "out_of_range", str(error)[:_MAX_DETAIL_CHARS]
+        )
     return EngineReport(
         held=held,
         busy=message.busy,
@@ -167,13 +173,17 @@
     return (layers,) if isinstance(layers, _Layers) else layers
 
 
-def _decode(body: bytes, decoder: msgspec.json.Decoder[_T]) -> _T | Unusable:
+def _decode(
+    body: bytes, decoder: msgspec.json.Decoder[_T]
+) -> _T | InvalidAnnouncement:
     try:
         return decoder.decode(body)
     except msgspec.ValidationError as error:
-        return Unusable(_reason_code(error), str(error)[:_MAX_DETAIL_CHARS])
+        return InvalidAnnouncement(
+            _reason_code(error), str(error)[:_MAX_DETAIL_CHARS]
+        )
     except (ValueError, RecursionError) as error:
-        return Unusable("unreadable", str(error)[:_MAX_DETAIL_CHARS])
+        return InvalidAnnouncement("unreadable", str(error)[:_MAX_DETAIL_CHARS])
 
 
 def _reason_code(error: msgspec.ValidationError) -> str:
--- a/damaskcroft/platform/control_face.py
+++ b/damaskcroft/platform/control_face.py
@@ -7,7 +7,7 @@
 from starlette.routing import Route
 
 from damaskcroft.control import Accepted, FleetControl, Invalid, Unavailable
-from damaskcroft.fleet import Unusable
+from damaskcroft.fleet import InvalidAnnouncement
 from damaskcroft.platform.announcements import (
     decode_announcement,
     decode_leave,
@@ -97,7 +97,7 @@
     return JSONResponse({"error": fault}, 400)
 
 
-def _acknowledge(outcome: bool | Unusable) -> Response:
-    if isinstance(outcome, Unusable):
+def _acknowledge(outcome: bool | InvalidAnnouncement) -> Response:
+    if isinstance(outcome, InvalidAnnouncement):
         return _bad_request(f"{outcome.reason}: {outcome.detail}")
     return JSONResponse({}, 200 if outcome else 503)
--- a/damaskcroft/platform/engine.py
+++ b/damaskcroft/platform/engine.py
@@ -13,7 +13,7 @@
     OrderRefused,
     StagedEngine,
 )
-from damaskcroft.fleet import Unusable, note_unusable
+from damaskcroft.fleet import InvalidAnnouncement, record_invalid_announcement
 from damaskcroft.observe import log_event
 from damaskcroft.platform.announcements import decode_report
 from damaskcroft.rpc import HTTP_ERRORS, make_http_client
@@ -47,12 +47,12 @@
         if outcome is None or outcome[0] != _OK:
             return EngineUnreachable()
         report = decode_report(outcome[1])
-        if isinstance(report, Unusable):
-            note_unusable("report", self._base_url, report)
+        if isinstance(report, InvalidAnnouncement):
+            record_invalid_announcement("report", self._base_url, report)
             return EngineUnreachable()
         return report
 
-    async def put_piece(self, model: str, index: int, data: bytes) -> bool:
+    async def stage_piece(self, model: str, index: int, data: bytes) -> bool:
         """Uploads a piece of weights to the server's staging area."""
         # The wire's `sample_size` is the index of the piece.
         outcome = await self._call(
@@ -60,7 +60,7 @@
         )
         return outcome is not None and 200 <= outcome[0] < 300
 
-    async def get_piece(self, model: str, index: int) -> bytes | None:
+    async def fetch_staged_piece(self, model: str, index: int) -> bytes | None:
         """Returns a staged piece, or None if the server does not have it."""
         outcome = await self._call(
             "GET", f"stage-get/{model}?sample_size={index}"
@@ -70,10 +70,10 @@
         return outcome[1]
 
     async def start(
-        self, model: str, version: int, sequence: int, *, cut_running: bool
+        self, model: str, version: int, sequence: int, *, abort_running: bool
     ) -> OrderOutcome:
         """Orders the server to load and serve a version of a model."""
-        order = _encode_start_order(model, version, sequence, cut_running)
+        order = _encode_start_order(model, version, sequence, abort_running)
         return await self._send_order(order)
 
     async def keep_only(
@@ -81,11 +81,11 @@
         part: fleet_pb2.HeldLayers,
         sequence: int,
         *,
-        cut_running: bool = False,
+        abort_running: bool = False,
     ) -> OrderOutcome:
         """Orders the server to drop all layers outside `part`."""
         order = _encode_start_order(
-            part.model, part.version, sequence, cut_running
+            part.model, part.version, sequence, abort_running
         )
         # The wire's `target` is the exclusive end of the range of layers.
         order["from"], order["target"] = part.first_layer, part.end_layer
@@ -133,12 +133,12 @@
 
 
 def _encode_start_order(
-    model: str, version: int, sequence: int, cut_running: bool
+    model: str, version: int, sequence: int, abort_running: bool
 ) -> dict[str, Any]:
     return {
         "operation": "start",
         "model": model,
         "version": version,
-        "switch_mode": "abort" if cut_running else "wait",
+        "switch_mode": "abort" if abort_running else "wait",
         "precondition": sequence,
     }
--- a/damaskcroft/platform/tests/test_announcements.py
+++ b/damaskcroft/platform/tests/test_announcements.py
@@ -8,7 +8,7 @@
 
 from damaskcroft._generated import fleet_pb2
 from damaskcroft.engines import EngineReport
-from damaskcroft.fleet import Unusable, checked
+from damaskcroft.fleet import InvalidAnnouncement, checked
 from damaskcroft.platform.announcements import (
     decode_announcement,
     decode_leave,
@@ -122,7 +122,7 @@
 )
 def test_malformed_announcement_is_rejected(changes, reason):
     outcome = decode_changed(**changes)
-    assert isinstance(outcome, Unusable)
+    assert isinstance(outcome, InvalidAnnouncement)
     assert outcome.reason == reason
 
 
@@ -133,7 +133,7 @@
 )  # fmt: skip
 def test_undecodable_bytes_are_rejected(body):
     for decoded in (decode_announcement("i", body), decode_report(body)):
-        assert isinstance(decoded, Unusable)
+        assert isinstance(decoded, InvalidAnnouncement)
         assert decoded.reason in ("unreadable", "wrong_type", "missing_field")
 
 
@@ -143,7 +143,7 @@
         ended = decode_leave("i", older)
         assert (ended.phase, ended.born_ms) == (fleet_pb2.TARGET_GONE, 0)
     for wrong in (b"\xff", b"5", b'{"born": "x"}', b'{"born": -1}'):
-        assert isinstance(decode_leave("i", wrong), Unusable)
+        assert isinstance(decode_leave("i", wrong), InvalidAnnouncement)
 
 
 def test_report_is_decoded():
@@ -170,7 +170,9 @@
     ],
 )
 def test_malformed_report_is_rejected(changes):
-    assert isinstance(decode_report(encoded(REPORT | changes)), Unusable)
+    assert isinstance(
+        decode_report(encoded(REPORT | changes)), InvalidAnnouncement
+    )
 
 
 anything = st.recursive(
@@ -202,18 +204,18 @@
     values = {k: v for k, v in (word | changes).items() if k not in left_out}
     body = encoded(values)
     state = checked(decode_announcement("i", body))
-    if isinstance(state, Unusable):
+    if isinstance(state, InvalidAnnouncement):
         assert state.reason
     else:
         assert state.address and state.service and 0 <= state.slots <= 65535
         assert all(part.first_layer <= part.end_layer for part in state.held)
     report = decode_report(body)
-    assert isinstance(report, Unusable | EngineReport)
+    assert isinstance(report, InvalidAnnouncement | EngineReport)
     leave = checked(decode_leave("i", body))
-    assert isinstance(leave, Unusable | fleet_pb2.TargetState)
+    assert isinstance(leave, InvalidAnnouncement | fleet_pb2.TargetState)
 
 
 @given(st.binary(max_size=200))
 def test_any_bytes_are_a_type_or_say_what_is_wrong(body):
-    assert isinstance(decode_announcement("i", body), Unusable)
-    assert isinstance(decode_report(body), Unusable)
+    assert isinstance(decode_announcement("i", body), InvalidAnnouncement)
+    assert isinstance(decode_report(body), InvalidAnnouncement)
--- a/damaskcroft/platform/tests/test_engine.py
+++ b/damaskcroft/platform/tests/test_engine.py
@@ -9,7 +9,7 @@
 from damaskcroft._generated import fleet_pb2
 from damaskcroft.engines import OrderAccepted, OrderRefused
 from damaskcroft.platform.engine import PlatformEngine
-from damaskcroft.rpc import http_served
+from damaskcroft.rpc import serve_http
 from damaskcroft.standins.loopback import free_address
 
 
@@ -28,7 +28,7 @@
 
     async def scenario():
         routes = [Route("/api/order", receive, methods=["POST"])]
-        async with http_served(address, routes):
+        async with serve_http(address, routes):
             engine = PlatformEngine(address)
             outcome = await order(engine)
             await engine.close()
@@ -40,7 +40,7 @@
 
 def test_order_of_a_complete_version_has_no_layer_range(address):
     received, outcome = send_order(
-        address, lambda engine: engine.start("m", 2, 5, cut_running=True)
+        address, lambda engine: engine.start("m", 2, 5, abort_running=True)
     )
     assert outcome == OrderAccepted()
     assert received == [
--- a/damaskcroft/platform/tests/test_wire.py
+++ b/damaskcroft/platform/tests/test_wire.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from damaskcroft.forwarding import Passing, TargetLoad
+from damaskcroft.forwarding import AttemptMetadata, TargetLoad
 from damaskcroft.http1 import CallerRequest, Head
 from damaskcroft.limits import Named, Unnamed, Unreadable
 from damaskcroft.platform.wire import PlatformWire
@@ -21,7 +21,7 @@
     )
 
 
-PASSING = Passing(
+PASSING = AttemptMetadata(
     target_id="i-1",
     customer="c",
     deadline_s=1.5,
--- a/damaskcroft/platform/wire.py
+++ b/damaskcroft/platform/wire.py
@@ -2,13 +2,13 @@
 
 from damaskcroft.forwarding import (
     AnswerFacts,
+    AttemptMetadata,
     Call,
-    Passing,
     TargetLoad,
     Wire,
 )
 from damaskcroft.http1 import CallerRequest, Head, Headers, retry_after_s
-from damaskcroft.limits import limit_named
+from damaskcroft.limits import parse_limit
 
 __all__ = ["PlatformWire"]
 
@@ -81,7 +81,7 @@
         except ValueError:
             return None
 
-    def target_headers(self, call: Call, passing: Passing) -> Headers:
+    def target_headers(self, call: Call, passing: AttemptMetadata) -> Headers:
         """Returns the headers of a request to a target."""
         headers = [
             *call.headers,
@@ -113,7 +113,7 @@
             misdirected=misdirected,
             rest_s=_parse_back_off_s(head),
             leaving=head.value(b"server-leaving") == "1",
-            limit=limit_named(head.values(b"server-limit")),
+            limit=parse_limit(head.values(b"server-limit")),
         )
 
     def answer_headers(self, head: Head) -> Headers:
--- a/damaskcroft/quarantine/__init__.py
+++ b/damaskcroft/quarantine/__init__.py
@@ -1,22 +1,26 @@
 """Detection and fleet-wide refusal of requests that crash their targets."""
 
-from damaskcroft.quarantine._copies import Copies, HoldTurn
-from damaskcroft.quarantine._crash_detection import CrashWatch, Loss, is_gone
-from damaskcroft.quarantine._crash_registry import CrashBook, Quarantined
+from damaskcroft.quarantine._copies import HoldTurn, SerialCopies
+from damaskcroft.quarantine._crash_detection import (
+    CrashDetector,
+    LostRequest,
+    is_gone,
+)
+from damaskcroft.quarantine._crash_registry import CrashRegistry, Quarantined
 from damaskcroft.quarantine._fingerprint import fingerprint
 from damaskcroft.quarantine._recent_answers import (
-    MOST_NOTED_BYTES,
+    MAX_RECORDED_BODY_BYTES,
     RecentAnswers,
 )
 from damaskcroft.quarantine._turns import Turns
 
 __all__ = [
-    "Copies",
-    "CrashBook",
-    "CrashWatch",
+    "SerialCopies",
+    "CrashRegistry",
+    "CrashDetector",
     "HoldTurn",
-    "Loss",
-    "MOST_NOTED_BYTES",
+    "LostRequest",
+    "MAX_RECORDED_BODY_BYTES",
     "Quarantined",
     "RecentAnswers",
     "Turns",
--- a/damaskcroft/quarantine/_copies.py
+++ b/damaskcroft/quarantine/_copies.py
@@ -19,10 +19,10 @@
 from collections.abc import AsyncIterator, Awaitable, Callable, Iterator
 
 from damaskcroft.clock import now_s
-from damaskcroft.quarantine._crash_registry import CrashBook
-from damaskcroft.tasks import Signal, end_all
+from damaskcroft.quarantine._crash_registry import CrashRegistry
+from damaskcroft.tasks import Signal, cancel_all
 
-__all__ = ["Copies", "HoldTurn"]
+__all__ = ["SerialCopies", "HoldTurn"]
 
 # Number of crashes in sequence from which a request waits for other requests
 # that have as many.
@@ -42,7 +42,7 @@
 HoldTurn = Callable[[bytes, float, Callable[[], None]], Awaitable[None]]
 
 
-class Copies:
+class SerialCopies:
     """Runs the copies of each suspect request at one entry one by one.
 
     Args:
@@ -53,7 +53,9 @@
 
     __slots__ = ("_changed", "_hold_turn", "_in_progress", "_registry")
 
-    def __init__(self, registry: CrashBook, hold_turn: HoldTurn | None = None):
+    def __init__(
+        self, registry: CrashRegistry, hold_turn: HoldTurn | None = None
+    ):
         """Starts without any copy in progress."""
         self._registry = registry
         self._hold_turn = hold_turn
@@ -167,7 +169,7 @@
             )
             yield
         finally:
-            await end_all([turn_task])
+            await cancel_all([turn_task])
 
     async def _wait_while(
         self,
--- a/damaskcroft/quarantine/_crash_detection.py
+++ b/damaskcroft/quarantine/_crash_detection.py
@@ -16,7 +16,7 @@
 from damaskcroft.http1 import connect
 from damaskcroft.observe import log_event, metrics
 
-__all__ = ["CrashWatch", "Loss", "TargetStart", "is_gone"]
+__all__ = ["CrashDetector", "LostRequest", "TargetStart", "is_gone"]
 
 # Delays in seconds before each check of the address. There are several because
 # a process that ends closes its connections one by one, before or after its
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Loss(Generic[_StartT]):
+class LostRequest(Generic[_StartT]):
     """A request whose connection ended before it was answered.
 
     Attributes:
@@ -105,11 +105,11 @@
         self.check_task: asyncio.Task[None] | None = None
 
 
-class CrashWatch(Generic[_StartT]):
+class CrashDetector(Generic[_StartT]):
     """Distinguishes crashes from other ends of connections.
 
     Args:
-        is_leaving: whether a start announced that it ends as planned.
+        is_draining: whether a start announced that it ends as planned.
         is_replaced: whether a later start has replaced a start.
         on_crash: called for each crash with the requests that ran there, and
             again when further ones are found.
@@ -119,19 +119,19 @@
 
     def __init__(
         self,
-        is_leaving: Callable[[_StartT], bool],
+        is_draining: Callable[[_StartT], bool],
         is_replaced: Callable[[_StartT], bool],
         on_crash: Callable[[quarantine_pb2.TargetCrash], None],
         crashed_at: Callable[[str], float | None] = lambda _: None,
     ):
         """Starts without any recorded loss."""
-        self._is_leaving = is_leaving
+        self._is_leaving = is_draining
         self._is_replaced = is_replaced
         self._on_crash = on_crash
         self._crashed_at = crashed_at
         self._possible_crashes_by_start: dict[str, _PossibleCrash[_StartT]] = {}
 
-    def lost(self, loss: Loss[_StartT]) -> asyncio.Task[None] | None:
+    def lost(self, loss: LostRequest[_StartT]) -> asyncio.Task[None] | None:
         """Records a lost request and checks the address of its target.
 
         Returns:
@@ -172,7 +172,7 @@
             )
         return possible_crash.check_task
 
-    def _start_id_reached(self, loss: Loss[_StartT]) -> str:
+    def _start_id_reached(self, loss: LostRequest[_StartT]) -> str:
         """The id of the start with which a request was lost.
 
         A connection that was opened after a start had crashed reached the start
--- a/damaskcroft/quarantine/_crash_registry.py
+++ b/damaskcroft/quarantine/_crash_registry.py
@@ -31,7 +31,7 @@
     longest_chain,
 )
 
-__all__ = ["CrashBook", "Quarantined"]
+__all__ = ["CrashRegistry", "Quarantined"]
 
 # Time from the last crash until a quarantined request may be tried again, and
 # the factor by which each retry that crashes a target extends it: three retries
@@ -71,7 +71,7 @@
     left_s: float
 
 
-class CrashBook:
+class CrashRegistry:
     """Crashes, by the start of the target that crashed.
 
     Args:
@@ -129,7 +129,7 @@
 
     def words(self) -> Iterator[quarantine_pb2.TargetCrash]:
         """All known crashes, for publishing to other processes."""
-        self.forget_old()
+        self.evict_expired()
         return (self._to_message(start) for start in self._crashes_by_start)
 
     def words_of(
@@ -265,7 +265,7 @@
 
     # --- Bounds ---------------------------------------------------------------
 
-    def forget_old(self) -> None:
+    def evict_expired(self) -> None:
         """Removes expired crashes; to be called periodically."""
         if not self._crashes_by_start:
             return
--- a/damaskcroft/quarantine/_recent_answers.py
+++ b/damaskcroft/quarantine/_recent_answers.py
@@ -9,11 +9,11 @@
 
 from damaskcroft.clock import now_s
 
-__all__ = ["MOST_NOTED_BYTES", "RecentAnswers"]
+__all__ = ["MAX_RECORDED_BODY_BYTES", "RecentAnswers"]
 
 # Hashing a larger body for each answer costs too much, and requests that many
 # callers send alike are short.
-MOST_NOTED_BYTES = 64 * 1024
+MAX_RECORDED_BODY_BYTES = 64 * 1024
 
 # After this time the weights, or the state that a target keeps, may have
 # changed.
