--- a/damaskcroft/quarantine/tests/fleet_simulation.py
+++ b/damaskcroft/quarantine/tests/fleet_simulation.py
@@ -14,15 +14,15 @@
 from unittest import mock
 
 from damaskcroft.quarantine import (
-    Copies,
-    CrashBook,
-    CrashWatch,
-    Loss,
+    CrashDetector,
+    CrashRegistry,
+    LostRequest,
     RecentAnswers,
+    SerialCopies,
     Turns,
     _crash_detection,
 )
-from damaskcroft.routing import Candidate, Outliers, PartedTargets, Placer
+from damaskcroft.routing import Candidate, Outliers, PartitionedTargets, Placer
 
 _CRASHES_AFTER_S = 0.04
 _RESTART_AFTER_S = 2.5
@@ -86,17 +86,21 @@
 
     def __init__(self, fleet, name):
         self._fleet = fleet
-        self.registry = CrashBook()
+        self.registry = CrashRegistry()
         self.known = {}
-        self._copies = Copies(self.registry, fleet.hold_turn)
+        self._copies = SerialCopies(self.registry, fleet.hold_turn)
         self._recent = RecentAnswers()
         self._outliers = Outliers()
-        partition = PartedTargets(name, lambda: fleet.entry_names)
+        partition = PartitionedTargets(name, lambda: fleet.entry_names)
         self._placer = Placer(
-            "z", "r", self._outliers, fleet.rng, is_own=partition.is_own
+            "z",
+            "r",
+            self._outliers,
+            fleet.rng,
+            is_assigned=partition.is_assigned,
         )
         self._placer.entries = len(fleet.entry_names)
-        self._watch = CrashWatch(
+        self._watch = CrashDetector(
             lambda _: False,
             self._is_replaced,
             self._publish,
@@ -169,7 +173,9 @@
     async def _lost(self, target, request, chain):
         was_suspect = self.registry.is_suspect(request)
         answered = self._recent.has(request)
-        loss = Loss(target, "s", request, request.decode(), chain, answered)
+        loss = LostRequest(
+            target, "s", request, request.decode(), chain, answered
+        )
         check_task = self._watch.lost(loss)
         if check_task is None:
             return
--- a/damaskcroft/quarantine/tests/test_copies.py
+++ b/damaskcroft/quarantine/tests/test_copies.py
@@ -5,7 +5,7 @@
 import pytest
 
 from damaskcroft._generated import quarantine_pb2
-from damaskcroft.quarantine import Copies, CrashBook, Turns
+from damaskcroft.quarantine import CrashRegistry, SerialCopies, Turns
 
 
 class Fleet:
@@ -14,7 +14,9 @@
     def __init__(self, registry, entries):
         self.turns = Turns()
         self.registry = registry
-        self.copies = [Copies(registry, self.hold) for _ in range(entries)]
+        self.copies = [
+            SerialCopies(registry, self.hold) for _ in range(entries)
+        ]
         self.in_progress = self.max_in_progress = 0
         self.ran = []
 
@@ -38,7 +40,7 @@
 @pytest.fixture
 def registry(loop):
     """A registry in which one target has crashed under b"bad"."""
-    registry = CrashBook()
+    registry = CrashRegistry()
 
     async def scenario():
         suspect = quarantine_pb2.Suspect(fingerprint=b"bad", chain=1)
@@ -52,7 +54,7 @@
 
 def test_copies_of_suspects_run_serially_and_others_in_parallel(loop, registry):
     async def scenario():
-        copies = Copies(registry)
+        copies = SerialCopies(registry)
         in_progress, max_in_progress = 0, {}
 
         async def run(name):
@@ -74,7 +76,7 @@
 
 def test_a_cleared_request_releases_all_waiting_copies(loop, registry):
     async def scenario():
-        copies = Copies(registry)
+        copies = SerialCopies(registry)
         ended = []
 
         async def run(number):
@@ -91,7 +93,7 @@
 
 def test_a_cancelled_copy_releases_the_next_one(loop, registry):
     async def scenario():
-        copies = Copies(registry)
+        copies = SerialCopies(registry)
 
         async def run():
             async with copies.one_at_a_time(b"bad", 1e9):
@@ -109,7 +111,7 @@
 
 def test_a_copy_waits_no_longer_than_its_deadline(loop, registry):
     async def scenario():
-        copies = Copies(registry)
+        copies = SerialCopies(registry)
 
         async def run(until):
             async with copies.one_at_a_time(b"bad", until):
@@ -172,7 +174,7 @@
             granted()
 
         fleet = Fleet(registry, 0)
-        await fleet.run(Copies(registry, hold))
+        await fleet.run(SerialCopies(registry, hold))
         assert fleet.ran == [1.1]
 
     loop.run(scenario())
@@ -199,7 +201,7 @@
     # Guards against refusing an innocent request for the crashes of one that
     # runs beside it.
     async def scenario():
-        registry = CrashBook()
+        registry = CrashRegistry()
         for name in (b"bad", b"sound"):
             suspect = quarantine_pb2.Suspect(fingerprint=name, chain=chain)
             registry.take(
@@ -220,13 +222,13 @@
 
 def test_a_suspect_of_several_crashes_waits_for_others_for_a_bounded_time(loop):
     async def scenario():
-        registry = CrashBook()
+        registry = CrashRegistry()
         for name in (b"bad", b"sound"):
             suspect = quarantine_pb2.Suspect(fingerprint=name, chain=2)
             registry.take(
                 quarantine_pb2.TargetCrash(start_id="t", suspects=[suspect])
             )
-        copies = Copies(registry)
+        copies = SerialCopies(registry)
         loop = asyncio.get_running_loop()
 
         async def run_long_request():
@@ -251,12 +253,12 @@
 ):
     # Guards against losing the last targets to requests that crash them.
     async def scenario():
-        registry = CrashBook()
+        registry = CrashRegistry()
         suspect = quarantine_pb2.Suspect(fingerprint=b"bad", chain=chain)
         registry.take(
             quarantine_pb2.TargetCrash(start_id="t", suspects=[suspect])
         )
-        copies = Copies(registry)
+        copies = SerialCopies(registry)
         now = asyncio.get_running_loop().time
         async with copies.one_at_a_time(b"bad", 1e9, lambda: now() < back_at_s):
             assert now() == pytest.approx(begins_at_s, abs=0.1)
--- a/damaskcroft/quarantine/tests/test_crash_detection.py
+++ b/damaskcroft/quarantine/tests/test_crash_detection.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from damaskcroft.quarantine import CrashWatch, Loss
+from damaskcroft.quarantine import CrashDetector, LostRequest
 from damaskcroft.routing import Candidate
 
 
@@ -17,7 +17,7 @@
         self.replaced = set()
         self.crashes = []
         self.crashed_at_by_start = {}
-        self.watch = CrashWatch(
+        self.watch = CrashDetector(
             lambda target: target.id in self.leaving,
             lambda target: target.id in self.replaced,
             self.crashes.append,
@@ -26,7 +26,9 @@
 
     async def lost(self, address, name=b"a", start="t@1", connecting_at=None):
         target = Candidate(start, address, "d", "r", 4)
-        loss = Loss(target, "s", name, "r-1", connecting_at=connecting_at)
+        loss = LostRequest(
+            target, "s", name, "r-1", connecting_at=connecting_at
+        )
         check_task = self.watch.lost(loss)
         if check_task is not None:
             await check_task
--- a/damaskcroft/quarantine/tests/test_crash_registry.py
+++ b/damaskcroft/quarantine/tests/test_crash_registry.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from damaskcroft._generated import quarantine_pb2
-from damaskcroft.quarantine import CrashBook, RecentAnswers, fingerprint
+from damaskcroft.quarantine import CrashRegistry, RecentAnswers, fingerprint
 from damaskcroft.quarantine._crash_registry import _MAX_STARTS
 from damaskcroft.quarantine.tests.crash_simulation import CrashSimulation
 from damaskcroft.standins.virtual_time import VirtualTimeLoop
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def registry():
-    return CrashBook()
+    return CrashRegistry()
 
 
 @pytest.fixture
@@ -68,7 +68,7 @@
 
 def test_crashes_seen_by_different_entries_are_merged(loop):
     async def scenario():
-        first_registry, second_registry = CrashBook(), CrashBook()
+        first_registry, second_registry = CrashRegistry(), CrashRegistry()
         first_registry.take(crash("t0", b"bad"))
         first_registry.take(crash("t1", b"bad"))
         second_registry.take(crash("t2", b"bad", b"beside"))
@@ -144,7 +144,7 @@
             registry.take(crash(f"t{n}", b"bad"))
         reports = registry.clear(b"bad")
         assert not registry.is_suspect(b"bad")
-        other = CrashBook()
+        other = CrashRegistry()
         for report in reports:
             other.take(report)
         other.take(crash("t2", b"bad"))
@@ -170,7 +170,7 @@
     async def scenario():
         reports = [crash(f"t{n}", b"bad", b"x%d" % n) for n in range(4)]
         reports += [crash(f"t{n}", b"bad", cleared=[b"x0"]) for n in range(4)]
-        registry, shuffled_registry = CrashBook(), CrashBook()
+        registry, shuffled_registry = CrashRegistry(), CrashRegistry()
         for report in reports:
             registry.take(report)
         for n in order:
@@ -212,7 +212,7 @@
         registry = registry_with_quarantine
         registry.take(crash("other", b"beside"))
         await asyncio.sleep(2 * _HOUR_S)
-        registry.forget_old()
+        registry.evict_expired()
         assert not registry.is_suspect(b"beside")
         assert {report.start_id for report in registry.words()} == {
             "t0",
@@ -311,7 +311,7 @@
     """
 
     async def scenario():
-        registry = CrashBook()
+        registry = CrashRegistry()
         simulation = CrashSimulation(registry, seed, 40, crashes_s)
         await simulation.run(30, asyncio.sleep, poison_every_s=0.4)
         assert simulation.poison_crashes <= 4
@@ -330,7 +330,7 @@
     """
 
     async def scenario():
-        simulation = CrashSimulation(CrashBook(), seed, 40, 1.0)
+        simulation = CrashSimulation(CrashRegistry(), seed, 40, 1.0)
         await simulation.run(40, asyncio.sleep)
         assert simulation.lost > 100
         assert simulation.falsely_quarantined == set()
@@ -348,7 +348,7 @@
     """
 
     async def scenario():
-        registry = CrashBook()
+        registry = CrashRegistry()
         simulation = CrashSimulation(
             registry, seed, 10, 0.7, targets=3, shared_s=20
         )
@@ -387,7 +387,9 @@
 
 def test_processes_end_a_quarantine_at_different_times(loop):
     async def scenario():
-        registries = [CrashBook(random.Random(n).random()) for n in range(5)]
+        registries = [
+            CrashRegistry(random.Random(n).random()) for n in range(5)
+        ]
         for registry in registries:
             for n in range(3):
                 registry.take(crash(f"t{n}", b"bad"))
--- a/damaskcroft/records/__init__.py
+++ b/damaskcroft/records/__init__.py
@@ -2,9 +2,9 @@
 
 from damaskcroft.records._registry import RecordRegistry
 from damaskcroft.records._selection import (
+    deployed_models,
     deployment_for,
     matches,
-    models_on_record,
 )
 from damaskcroft.records._shapes import (
     CURRENT_SCHEMA_VERSION,
@@ -21,7 +21,7 @@
     "UnsupportedSchema",
     "deployment_for",
     "matches",
-    "models_on_record",
+    "deployed_models",
     "parse_deployment",
     "validate",
 ]
--- a/damaskcroft/records/_selection.py
+++ b/damaskcroft/records/_selection.py
@@ -52,7 +52,7 @@
     return newest
 
 
-def models_on_record(records: Iterable[records_pb2.Record]) -> set[str]:
+def deployed_models(records: Iterable[records_pb2.Record]) -> set[str]:
     """Returns the models of all readable deployments that are in force."""
     models = set()
     for record in records:
--- a/damaskcroft/routing/__init__.py
+++ b/damaskcroft/routing/__init__.py
@@ -1,21 +1,21 @@
 """Admission, fair sharing, choice of target and retries, at an entry."""
 
-from damaskcroft._later import imported_later
+from damaskcroft._lazy_imports import lazy_imports
 from damaskcroft.routing._back_pressure import BackPressure
 from damaskcroft.routing._delays import AnswerDelays
 from damaskcroft.routing._outliers import Outliers
-from damaskcroft.routing._parted_targets import PartedTargets
+from damaskcroft.routing._partitioned_targets import PartitionedTargets
 from damaskcroft.routing._placement import Candidate, Placement, Placer, Slot
 from damaskcroft.routing._queue import RequestQueue
+from damaskcroft.routing._retry_after import draw_retry_after_s
 from damaskcroft.routing._retry_window import RetryWindow
-from damaskcroft.routing._return_times import return_after_s
 from damaskcroft.routing._silence import SilenceWatch
 from damaskcroft.routing._tickets import (
-    Closed,
     LongWait,
     Overloaded,
     QueueTicket,
     SlotTaken,
+    TargetsUnavailable,
 )
 from damaskcroft.routing._unread_bound import UnreadBound
 
@@ -24,7 +24,7 @@
     "AnswerDelays",
     "BackPressure",
     "Candidate",
-    "Closed",
+    "TargetsUnavailable",
     "Granted",
     "RequestQueue",
     "QueueTicket",
@@ -32,7 +32,7 @@
     "NotGranted",
     "Outliers",
     "Overloaded",
-    "PartedTargets",
+    "PartitionedTargets",
     "Placement",
     "Placer",
     "Pool",
@@ -46,11 +46,11 @@
     "Ticket",
     "SlotTaken",
     "UnreadBound",
-    "return_after_s",
+    "draw_retry_after_s",
 ]
 
 # Imported on first use: only entries with the product's own interface use them.
-__getattr__ = imported_later(
+__getattr__ = lazy_imports(
     __name__,
     {
         "Admission": "_admission",
--- a/damaskcroft/routing/_back_pressure.py
+++ b/damaskcroft/routing/_back_pressure.py
@@ -40,7 +40,7 @@
         self._draining_since: dict[str, float] = {}
 
     @property
-    def is_any(self) -> bool:
+    def is_active(self) -> bool:
         """Whether any target has asked for back-off or drains; O(1)."""
         return bool(self._back_off_until or self._draining_since)
 
@@ -51,7 +51,7 @@
         self._back_off_until[target_id] = max(until, previous_until)
         self._half_open_ids.add(target_id)
         if previous_until < now_s():
-            metrics.TARGETS_LEFT_ALONE.labels("rest").inc()
+            metrics.TARGETS_AVOIDED.labels("rest").inc()
             log_event("target_rests", target=target_id, for_s=for_s)
 
     def leaving(self, target_id: str) -> None:
@@ -59,35 +59,35 @@
         if target_id in self._draining_since:
             return
         self._draining_since[target_id] = now_s()
-        metrics.TARGETS_LEFT_ALONE.labels("leaving").inc()
+        metrics.TARGETS_AVOIDED.labels("leaving").inc()
         log_event("target_says_leaving", target=target_id)
 
     def answered(self, target_id: str) -> None:
         """Records an accepted request, which ends the half-open state."""
-        if self.rests_s(target_id) <= 0:
+        if self.back_off_left_s(target_id) <= 0:
             self._half_open_ids.discard(target_id)
 
-    def rests_s(self, target_id: str) -> float:
+    def back_off_left_s(self, target_id: str) -> float:
         """Returns the remaining back-off of a target; 0 if there is none."""
         until = self._back_off_until.get(target_id, -math.inf)
         return max(0.0, until - now_s())
 
-    def takes_one(self, target_id: str) -> bool:
+    def is_half_open(self, target_id: str) -> bool:
         """Whether a target is half-open: it gets one request at a time."""
         return target_id in self._half_open_ids
 
-    def is_leaving(self, target_id: str) -> bool:
+    def is_draining(self, target_id: str) -> bool:
         """Whether a target has announced that it drains, which is final."""
         return target_id in self._draining_since
 
-    def may_be_sent(self, target_id: str) -> bool:
+    def accepts_requests(self, target_id: str) -> bool:
         """Whether back-off and draining allow a request to a target."""
-        if self.rests_s(target_id) > 0:
+        if self.back_off_left_s(target_id) > 0:
             return False
         since = self._draining_since.get(target_id)
         return since is None or now_s() - since < self._usable_while_draining_s
 
-    def forget_all_but(self, target_ids: Collection[str]) -> None:
+    def retain_only(self, target_ids: Collection[str]) -> None:
         """Drops the state of targets that are gone."""
         for times_by_id in (self._back_off_until, self._draining_since):
             for target_id in times_by_id.keys() - set(target_ids):
--- a/damaskcroft/routing/_choice.py
+++ b/damaskcroft/routing/_choice.py
@@ -61,7 +61,7 @@
         available = [
             target
             for target in capable
-            if not self._outliers.is_aside(target.id)
+            if not self._outliers.is_ejected(target.id)
             and now_s() >= self._paused_until.get(target.id, 0.0)
         ]
         # If every target is ejected or paused, an attempt is better than a
@@ -78,7 +78,7 @@
         drawn = self._rng.sample(candidates, min(2, len(candidates)))
         return min(drawn, key=self._relative_load)
 
-    def leave_alone(self, target_id: str, for_s: float) -> None:
+    def pause_for(self, target_id: str, for_s: float) -> None:
         """Avoids a target that accepts no request for some seconds."""
         self._paused_until[target_id] = now_s() + for_s
 
--- a/damaskcroft/routing/_delays.py
+++ b/damaskcroft/routing/_delays.py
@@ -76,7 +76,7 @@
                 now = now_s()
                 delays.abandoned.append((now, now - sent_at))
 
-    def quickest_s(self, target_id: str) -> float:
+    def shortest_delay_s(self, target_id: str) -> float:
         """Returns the shortest of a target's recent answer delays, in seconds.
 
         Without a recent answer, returns the longest that a request has waited
@@ -98,13 +98,15 @@
             min(older, default=0.0),
         )
 
-    def foreseen_s(self, target_id: str) -> float:
+    def expected_delay_s(self, target_id: str) -> float:
         """Predicts the minimum answer delay of a request sent now, in seconds.
 
         The fastest recent answer may be two seconds old. If requests wait and
         none has been answered since, their wait describes the present.
         """
-        return max(self.quickest_s(target_id), self._unanswered_s(target_id))
+        return max(
+            self.shortest_delay_s(target_id), self._unanswered_s(target_id)
+        )
 
     def _unanswered_s(self, target_id: str) -> float:
         """Returns for how long requests have waited without any answer."""
@@ -114,7 +116,7 @@
         last_at = delays.answers[-1][0] if delays.answers else float("-inf")
         return now_s() - max(last_at, next(iter(delays.unanswered.values())))
 
-    def forget_all_but(self, target_ids: Collection[str]) -> None:
+    def retain_only(self, target_ids: Collection[str]) -> None:
         """Drops the measurements of targets that are gone."""
         for target_id in list(self._delays_by_id):
             if target_id not in target_ids:
--- a/damaskcroft/routing/_outliers.py
+++ b/damaskcroft/routing/_outliers.py
@@ -34,7 +34,7 @@
         self._clock_s = clock_s
         self._records_by_id: dict[str, _Record] = {}
 
-    def is_aside(self, target_id: str) -> bool:
+    def is_ejected(self, target_id: str) -> bool:
         """Whether a target is ejected now, so that it should get no request."""
         record = self._records_by_id.get(target_id)
         return record is not None and record.ejected_until > self._clock_s()
--- a/damaskcroft/routing/_parted_targets.py
+++ b/damaskcroft/routing/_partitioned_targets.py
@@ -9,12 +9,12 @@
 import hashlib
 from collections.abc import Callable
 
-__all__ = ["PartedTargets"]
+__all__ = ["PartitionedTargets"]
 
 _DIGEST_BYTES = 8
 
 
-class PartedTargets:
+class PartitionedTargets:
     """Assigns each target of a fleet to one of its entries.
 
     Args:
@@ -32,7 +32,7 @@
         # Number of entries, and the index of this one among them.
         self._count, self._index = 1, 0
 
-    def is_own(self, target_id: str) -> bool:
+    def is_assigned(self, target_id: str) -> bool:
         """Whether a target is assigned to this entry for suspect requests."""
         names = self._names()
         # An identity check is enough and cheap: this runs for each target, and
--- a/damaskcroft/routing/_placement.py
+++ b/damaskcroft/routing/_placement.py
@@ -124,10 +124,10 @@
         outliers: Outliers,
         rng: random.Random | None = None,
         answer_delay_s: Callable[[str], float] = lambda _: 0.0,
-        takes_one: Callable[[str], bool] = lambda _: False,
-        is_spared: Callable[[str], bool] = lambda _: False,
-        is_due: Callable[[str], bool] = lambda _: False,
-        is_own: Callable[[str], bool] = lambda _: True,
+        is_half_open: Callable[[str], bool] = lambda _: False,
+        is_deferred: Callable[[str], bool] = lambda _: False,
+        is_probe_due: Callable[[str], bool] = lambda _: False,
+        is_assigned: Callable[[str], bool] = lambda _: True,
         unread_bound: UnreadBound | None = None,
     ):
         """Starts without requests at any target.
@@ -138,19 +138,19 @@
             outliers: targets that are ejected after failures.
             rng: decides between equals.
             answer_delay_s: returns the answer delay of a target, by its id.
-            takes_one: whether a target gets one request at a time now.
-            is_spared: whether other targets with room come before a target.
-            is_due: whether a target comes before others with room.
-            is_own: whether a target is assigned to this entry for suspect
+            is_half_open: whether a target gets one request at a time now.
+            is_deferred: whether other targets with room come before a target.
+            is_probe_due: whether a target comes before others with room.
+            is_assigned: whether a target is assigned to this entry for suspect
                 requests.
             unread_bound: bound on unread prompts; by default one that follows
                 the time to first event.
         """
-        self._is_spared = is_spared
-        self._is_due = is_due
-        self._is_own = is_own
+        self._is_spared = is_deferred
+        self._is_due = is_probe_due
+        self._is_own = is_assigned
         self._unread_bound = unread_bound or UnreadBound()
-        self._takes_one = takes_one
+        self._takes_one = is_half_open
         self._answer_delay_s = answer_delay_s
         self._failure_domain = failure_domain
         self._region = region
@@ -246,17 +246,19 @@
             self._loads.get_or_add(candidate.id), prompt_tokens, is_suspect
         )
 
-    def first_answered(self, took_s: float, goal_s: float) -> None:
+    def record_first_answer(
+        self, took_s: float, latency_objective_s: float
+    ) -> None:
         """Records the time to first event, as described in UnreadBound.note."""
-        self._unread_bound.note(took_s, goal_s)
+        self._unread_bound.note(took_s, latency_objective_s)
 
     def told(self, target_id: str, requests: int) -> None:
         """Records the number of requests that a target reports."""
         self._loads.record_report(target_id, requests)
 
-    def forget_all_but(self, target_ids: Collection[str]) -> None:
+    def retain_only(self, target_ids: Collection[str]) -> None:
         """Drops the loads of targets that are gone."""
-        self._loads.forget_all_but(target_ids)
+        self._loads.retain_only(target_ids)
 
     def _has_room(
         self, candidate: Candidate, load: TargetLoad, prompt_tokens: int
@@ -279,7 +281,7 @@
         is_suspect: bool,
     ) -> tuple[float, ...]:
         return (
-            self._outliers.is_aside(candidate.id),
+            self._outliers.is_ejected(candidate.id),
             not has_room,
             self._is_spared(candidate.id),
             is_suspect or not self._is_due(candidate.id),
--- a/damaskcroft/routing/_pools.py
+++ b/damaskcroft/routing/_pools.py
@@ -4,7 +4,7 @@
 import math
 
 from damaskcroft.membership import Roster
-from damaskcroft.records import models_on_record
+from damaskcroft.records import deployed_models
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -111,7 +111,7 @@
                     report.manifest,
                 )
             )
-        entries = self._roster.live_entries()
+        entries = self._roster.count_live_entries()
         self._pools_by_name = {
             name: Pool(
                 name,
@@ -131,7 +131,7 @@
             for holder in self._roster.holders_by_id.values()
             if holder.service
         }
-        self._models_on_record = models_on_record(
+        self._models_on_record = deployed_models(
             self._roster.records_by_key.values()
         )
 
--- a/damaskcroft/routing/_queue.py
+++ b/damaskcroft/routing/_queue.py
@@ -1,8 +1,8 @@
 """The queue of requests at an entry while every target of a service is full.
 
 It is for loads above the capacity of the targets that last some seconds: many
-users at once, lost targets, or new targets that are still empty. A target's own
-queue is first come, first served, so that under such a load every answer is
+users at once, lost targets, or new targets that hold no weights yet. A target's
+own queue is first come, first served, so that under such a load every answer is
 late. Here requests that can still be answered in time go first. The others
 wait for the remaining capacity, and are refused with a Retry-After before most
 of their time has passed, or at once during a standing queue.
@@ -16,13 +16,13 @@
 from damaskcroft.clock import now_s
 from damaskcroft.routing._first_answers import FirstAnswers
 from damaskcroft.routing._placement import Candidate, Placement, Slot
-from damaskcroft.routing._standing import LateSpan
+from damaskcroft.routing._standing_queue import LateSpan
 from damaskcroft.routing._tickets import (
-    Closed,
     LongWait,
     Overloaded,
     QueueTicket,
     SlotTaken,
+    TargetsUnavailable,
 )
 
 __all__ = ["RequestQueue"]
@@ -100,7 +100,7 @@
         take: Callable[[Candidate, QueueTicket], Slot],
         may_become_available: Callable[[QueueTicket], bool] = lambda _: False,
         closed: Callable[
-            [QueueTicket, int], Closed | None
+            [QueueTicket, int], TargetsUnavailable | None
         ] = lambda ticket, count_ahead: None,
         *,
         refuses_late: bool = True,
@@ -119,7 +119,7 @@
         self._first_answers = FirstAnswers()
         self._next_poll: asyncio.TimerHandle | None = None
 
-    def first_answered(self, service: str, took_s: float) -> None:
+    def record_first_answer(self, service: str, took_s: float) -> None:
         """Records how long a target took to begin its answer.
 
         With a fixed time instead of `FirstAnswers`, requests that are about to
@@ -195,7 +195,7 @@
         self._next_poll = None
         self.serve()
 
-    def newly_long(self) -> list[LongWait]:
+    def new_long_waits(self) -> list[LongWait]:
         """Returns requests that have begun to wait for long; each only once."""
         since = now_s() - _LONG_WAIT_S
         long_waits = []
@@ -269,7 +269,7 @@
         if closed.available_in_s <= ticket.wait_deadline - now_s():
             self._schedule_poll(closed.available_in_s)
             return _WaitsFor.TARGET_AVAILABLE
-        return Overloaded(closed.reason, waiting, returns_s=closed.returns_s)
+        return Overloaded(closed.reason, waiting, retry_in_s=closed.retry_in_s)
 
     def _grant(self, ticket: QueueTicket, placement: Placement) -> SlotTaken:
         slot = self._take(placement.candidate, ticket)
@@ -285,7 +285,7 @@
         closed = self._closed(ticket, count_ahead)
         if closed is not None:
             return Overloaded(
-                closed.reason, waiting, expected_wait_s, closed.returns_s
+                closed.reason, waiting, expected_wait_s, closed.retry_in_s
             )
         return Overloaded(
             self._refusal_reason(ticket), waiting, expected_wait_s
@@ -338,10 +338,10 @@
 
     def _dispatch_deadline(self, ticket: QueueTicket) -> float:
         """Returns the latest time of dispatch for an answer in time."""
-        if not ticket.goal_s:
+        if not ticket.latency_objective_s:
             return ticket.wait_deadline
         first_answer_s = min(
             self._first_answers.p90_s(ticket.service),
-            _MAX_FIRST_ANSWER_SHARE * ticket.goal_s,
+            _MAX_FIRST_ANSWER_SHARE * ticket.latency_objective_s,
         )
-        return ticket.arrived_at + ticket.goal_s - first_answer_s
+        return ticket.arrived_at + ticket.latency_objective_s - first_answer_s
--- a/damaskcroft/routing/_return_times.py
+++ b/damaskcroft/routing/_retry_after.py
@@ -2,7 +2,7 @@
 
 import random
 
-__all__ = ["return_after_s"]
+__all__ = ["draw_retry_after_s"]
 
 # Shortest mean Retry-After, also used if the wait is unknown: long enough that
 # a request under way (about a second) has ended.
@@ -16,13 +16,13 @@
 _RETRY_SPREAD = 0.5
 
 
-def return_after_s(foreseen_s: float, rng: random.Random) -> float:
+def draw_retry_after_s(expected_wait_s: float, rng: random.Random) -> float:
     """Returns the Retry-After of one caller, with random spread.
 
     Args:
-        foreseen_s: predicted wait in the queue; 0 if unknown.
+        expected_wait_s: predicted wait in the queue; 0 if unknown.
         rng: source of the spread.
     """
-    wait_s = max(_MIN_RETRY_AFTER_S, min(foreseen_s, _MAX_RETRY_AFTER_S))
+    wait_s = max(_MIN_RETRY_AFTER_S, min(expected_wait_s, _MAX_RETRY_AFTER_S))
     spread = 1 + _RETRY_SPREAD * (2 * rng.random() - 1)
     return min(wait_s * spread, _MAX_RETRY_AFTER_S)
--- a/damaskcroft/routing/_silence.py
+++ b/damaskcroft/routing/_silence.py
@@ -34,40 +34,40 @@
 class SilenceWatch:
     """Time of the last data of each target, over all requests under way."""
 
-    __slots__ = ("_last_poll_at", "_polling_since", "_seen_by_id")
+    __slots__ = ("_last_poll_at", "_polling_since", "_activity_by_id")
 
     def __init__(self) -> None:
         """Starts without targets."""
-        self._seen_by_id: dict[str, _TargetActivity] = {}
+        self._activity_by_id: dict[str, _TargetActivity] = {}
         # The last poll, and the first one after this process's last pause.
         self._last_poll_at = -math.inf
         self._polling_since = -math.inf
 
     def sent(self, target_id: str) -> None:
         """Counts a request that was sent."""
-        activity = self._seen_by_id.setdefault(target_id, _TargetActivity())
+        activity = self._activity_by_id.setdefault(target_id, _TargetActivity())
         if not activity.outstanding:
             activity.busy_since = now_s()
         activity.outstanding += 1
 
     def ended(self, target_id: str) -> None:
         """Stops counting a request that is no longer under way."""
-        activity = self._seen_by_id.get(target_id)
+        activity = self._activity_by_id.get(target_id)
         if activity is None:
             return
         activity.outstanding -= 1
         if not activity.outstanding:
-            del self._seen_by_id[target_id]
+            del self._activity_by_id[target_id]
 
     def heard(self, target_id: str) -> None:
         """Records that data was received from a target."""
-        activity = self._seen_by_id.get(target_id)
+        activity = self._activity_by_id.get(target_id)
         if activity is not None:
             activity.last_data_at = now_s()
 
     def has_work(self, target_id: str) -> bool:
         """Whether requests are under way at a target."""
-        return target_id in self._seen_by_id
+        return target_id in self._activity_by_id
 
     def silent_s(self, target_id: str) -> float:
         """Returns for how long a target with work has been silent, else 0.
@@ -75,7 +75,7 @@
         Time in and before a pause of this process doesn't count, because what
         targets sent in the meantime may not have been read yet.
         """
-        activity = self._seen_by_id.get(target_id)
+        activity = self._activity_by_id.get(target_id)
         if activity is None:
             return 0.0
         since = max(
@@ -91,6 +91,6 @@
         self._last_poll_at = now
         return [
             target_id
-            for target_id in self._seen_by_id
+            for target_id in self._activity_by_id
             if self.silent_s(target_id) > _SILENCE_TIMEOUT_S
         ]
--- a/damaskcroft/routing/_target_loads.py
+++ b/damaskcroft/routing/_target_loads.py
@@ -122,7 +122,7 @@
         load.reported_others = max(0, requests - load.outstanding)
         load.reported_at = asyncio.get_running_loop().time()
 
-    def forget_all_but(self, target_ids: Collection[str]) -> None:
+    def retain_only(self, target_ids: Collection[str]) -> None:
         """Drops the loads of targets that are gone."""
         for target_id in list(self._loads_by_id):
             if target_id not in target_ids:
--- a/damaskcroft/routing/_tickets.py
+++ b/damaskcroft/routing/_tickets.py
@@ -4,7 +4,13 @@
 
 from damaskcroft.routing._placement import Candidate, Slot
 
-__all__ = ["Closed", "LongWait", "Overloaded", "QueueTicket", "SlotTaken"]
+__all__ = [
+    "TargetsUnavailable",
+    "LongWait",
+    "Overloaded",
+    "QueueTicket",
+    "SlotTaken",
+]
 
 # Maximum share of its time that a request waits here. A refused caller retries
 # within a third of its remaining time, and must then still be served.
@@ -20,8 +26,8 @@
         model: name of the model, or empty.
         priority: 0 is the most urgent.
         arrived_at: loop time of its arrival.
-        goal_s: latency objective: an answer that begins within this time is in
-            time; 0 for none.
+        latency_objective_s: an answer that begins within this time is in time;
+            0 for none.
         deadline_at: loop time at which its answer must be complete.
         prompt_tokens: length of its prompt.
         request_id: the request's id, for logs.
@@ -35,7 +41,7 @@
     model: str
     priority: int
     arrived_at: float
-    goal_s: float
+    latency_objective_s: float
     deadline_at: float
     prompt_tokens: int = 0
     request_id: str = ""
@@ -62,7 +68,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Closed:
+class TargetsUnavailable:
     """State in which no target that could serve a request accepts one now.
 
     Attributes:
@@ -70,12 +76,12 @@
             rate limits of the others are used up.
         available_in_s: time until a target accepts the request from this entry;
             infinite if only other entries send to these targets.
-        returns_s: Retry-After for the caller, which may use any entry.
+        retry_in_s: Retry-After for the caller, which may use any entry.
     """
 
     reason: str
     available_in_s: float
-    returns_s: float
+    retry_in_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -86,15 +92,15 @@
         reason: "overloaded" if all targets that could serve it were full,
             "no_target" if none could serve it, or the reason of `Closed`.
         waiting: number of requests that waited for the service.
-        foreseen_s: predicted wait in the queue at its present rate; 0 if
+        expected_wait_s: predicted wait in the queue at its present rate; 0 if
             unknown.
-        returns_s: Retry-After for the caller; 0 if unknown.
+        retry_in_s: Retry-After for the caller; 0 if unknown.
     """
 
     reason: str
     waiting: int
-    foreseen_s: float = 0.0
-    returns_s: float = 0.0
+    expected_wait_s: float = 0.0
+    retry_in_s: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/damaskcroft/routing/_unread_bound.py
+++ b/damaskcroft/routing/_unread_bound.py
@@ -47,16 +47,16 @@
         self._objective_shares: list[float] = []
         self._changed_at = 0.0
 
-    def note(self, took_s: float, goal_s: float) -> None:
+    def note(self, took_s: float, latency_objective_s: float) -> None:
         """Records how long an engine needed to begin an answer.
 
         Args:
             took_s: time from sending the request to its first event.
-            goal_s: the request's latency objective; 0 for none.
+            latency_objective_s: the request's latency objective; 0 for none.
         """
-        if not goal_s:
+        if not latency_objective_s:
             return
-        self._objective_shares.append(took_s / goal_s)
+        self._objective_shares.append(took_s / latency_objective_s)
         now = now_s()
         is_update_due = now - self._changed_at >= _UPDATE_INTERVAL_S
         if not is_update_due or len(self._objective_shares) < _MIN_ANSWERS:
--- a/damaskcroft/routing/tests/test_placement.py
+++ b/damaskcroft/routing/tests/test_placement.py
@@ -7,7 +7,7 @@
     Candidate,
     Outliers,
     Overloaded,
-    PartedTargets,
+    PartitionedTargets,
     Placer,
     QueueTicket,
     RequestQueue,
@@ -86,9 +86,13 @@
         targets = [candidate(f"t{n}") for n in range(20)]
         chosen = []
         for name in sorted(names):
-            partition = PartedTargets(name, lambda: names)
+            partition = PartitionedTargets(name, lambda: names)
             placer = Placer(
-                "d", "r", Outliers(), random.Random(1), is_own=partition.is_own
+                "d",
+                "r",
+                Outliers(),
+                random.Random(1),
+                is_assigned=partition.is_assigned,
             )
             for _ in range(3):
                 target = placer.choose(targets, (), is_suspect=True).candidate
@@ -100,16 +104,18 @@
 
 
 def test_targets_with_similar_ids_are_partitioned_evenly():
-    partition = PartedTargets("entry-14", lambda: frozenset({"entry-16"}))
+    partition = PartitionedTargets("entry-14", lambda: frozenset({"entry-16"}))
     ids = [f"i-t{n}-1" for n in (1, 3, 5, 7, 9)]
     ids += [f"i-t{n}@17963063751{n + 29}" for n in (0, 2, 4, 6, 8)]
-    assert 3 <= sum(map(partition.is_own, ids)) <= 7
+    assert 3 <= sum(map(partition.is_assigned, ids)) <= 7
 
 
 def test_suspects_go_to_targets_of_other_entries_if_own_ones_are_full(loop):
     async def scenario():
         own, other = candidate("own"), candidate("other")
-        placer = Placer("d", "r", Outliers(), is_own=lambda id_: id_ == "own")
+        placer = Placer(
+            "d", "r", Outliers(), is_assigned=lambda id_: id_ == "own"
+        )
         placer.told("own", 10)
         chosen = placer.choose([own, other], (), is_suspect=True)
         assert chosen.candidate is other
@@ -136,7 +142,7 @@
         targets = [candidate(f"t{n}") for n in range(9)]
         due = candidate("due", "e", "s")
         placer = Placer(
-            "d", "r", Outliers(), random.Random(1), is_due="due".__eq__
+            "d", "r", Outliers(), random.Random(1), is_probe_due="due".__eq__
         )
         assert placer.choose([*targets, due], ()).candidate is due
         suspect = placer.choose([*targets, due], (), is_suspect=True)
@@ -308,7 +314,7 @@
                     await engines[outcome.candidate.id].run(900)
                     took_s = loop.time() - sent_at
                     first_after_s.append((sent_at, took_s))
-                    placer.first_answered(took_s, 0.4)
+                    placer.record_first_answer(took_s, 0.4)
                     outcome.slot.read()
                     outcome.slot.give_back()
                     queue.serve()
--- a/damaskcroft/routing/tests/test_queue.py
+++ b/damaskcroft/routing/tests/test_queue.py
@@ -8,7 +8,6 @@
 from damaskcroft.limits import TokenBucket
 from damaskcroft.routing import (
     Candidate,
-    Closed,
     Outliers,
     Overloaded,
     Placement,
@@ -16,6 +15,7 @@
     QueueTicket,
     RequestQueue,
     SlotTaken,
+    TargetsUnavailable,
 )
 
 SLOTS = 4
@@ -269,7 +269,7 @@
         assert len(refused) > 10
         await asyncio.gather(*early, *crowd)
         # About twenty grants a second, and more than a third of six seconds.
-        assert all(1.5 < o.foreseen_s < 5 for o in refused)
+        assert all(1.5 < o.expected_wait_s < 5 for o in refused)
 
     loop.run(scenario())
 
@@ -283,15 +283,15 @@
             for p in (0, 1)
         )
         await asyncio.sleep(0.2)
-        assert targets.queue.newly_long() == []
+        assert targets.queue.new_long_waits() == []
         slots[0].give_back()
         targets.queue.serve()
         await short
         await asyncio.sleep(0.1)
-        (wait,) = targets.queue.newly_long()
+        (wait,) = targets.queue.new_long_waits()
         assert (wait.ticket.priority, wait.waiting) == (1, 1)
         await asyncio.sleep(0.1)
-        assert targets.queue.newly_long() == []
+        assert targets.queue.new_long_waits() == []
         long.cancel()
         await asyncio.gather(long, return_exceptions=True)
 
@@ -321,7 +321,7 @@
             targets.queue.take_slot(ticket(loop.time()))
         )
         await asyncio.sleep(1.0)
-        (wait,) = targets.queue.newly_long()
+        (wait,) = targets.queue.new_long_waits()
         assert wait.reason == reason
         await asyncio.sleep(DEADLINE_S * 0.33)
         targets.queue.serve()
@@ -362,19 +362,19 @@
     loop,
 ):
     async def scenario():
-        closed = Closed("resting", BACK_OFF_S, BACK_OFF_S)
+        closed = TargetsUnavailable("resting", BACK_OFF_S, BACK_OFF_S)
         queue = RequestQueue(
             lambda _: None, lambda *_: None, closed=lambda *_: closed
         )
         waiting = asyncio.create_task(queue.take_slot(ticket(loop.time())))
         await asyncio.sleep(0.3)
-        (wait,) = queue.newly_long()
+        (wait,) = queue.new_long_waits()
         assert wait.reason == "resting"
         await asyncio.sleep(DEADLINE_S * 0.33)
         queue.serve()
         outcome = await waiting
         assert outcome.reason == "resting"
-        assert outcome.returns_s == BACK_OFF_S
+        assert outcome.retry_in_s == BACK_OFF_S
 
     loop.run(scenario())
 
@@ -395,7 +395,7 @@
         targets = Targets(1)
         slots = [(await targets.request_slot(loop)).slot for _ in range(SLOTS)]
         for answer_time_s in answer_times_s:
-            targets.queue.first_answered("s", answer_time_s)
+            targets.queue.record_first_answer("s", answer_time_s)
         served = []
 
         async def wait(name):
@@ -463,7 +463,7 @@
             if not bucket.wait_s():
                 return None
             wait_s = bucket.wait_s() + before / rate_s
-            return Closed("rate_limited", wait_s, wait_s)
+            return TargetsUnavailable("rate_limited", wait_s, wait_s)
 
         queue = RequestQueue(choose, take, closed=closed)
 
--- a/damaskcroft/rpc/__init__.py
+++ b/damaskcroft/rpc/__init__.py
@@ -1,42 +1,46 @@
 """Shared gRPC and HTTP infrastructure: channels, servers, keys, exit."""
 
-from damaskcroft._later import imported_later
+from damaskcroft._lazy_imports import lazy_imports
 from damaskcroft.rpc._channels import (
     CALL_ERRORS,
     ChannelPool,
     called,
     split_address,
 )
-from damaskcroft.rpc._http import CallerLeft, http_served, unless_caller_leaves
+from damaskcroft.rpc._http import (
+    CallerDisconnected,
+    run_unless_disconnected,
+    serve_http,
+)
 from damaskcroft.rpc._keys import Keys, KeysError, load_keys
 from damaskcroft.rpc._process import (
-    end_now,
-    start_failure_logged,
+    force_exit,
+    logging_start_failure,
     stop_event,
 )
-from damaskcroft.rpc._server import grpc_served
+from damaskcroft.rpc._server import serve_grpc
 
 __all__ = [
     "CALL_ERRORS",
     "HTTP_ERRORS",
-    "CallerLeft",
+    "CallerDisconnected",
     "ChannelPool",
     "Keys",
     "KeysError",
     "called",
-    "end_now",
-    "grpc_served",
-    "http_served",
+    "force_exit",
+    "serve_grpc",
+    "serve_http",
     "load_keys",
     "make_http_client",
     "run_daemon",
     "split_address",
-    "start_failure_logged",
+    "logging_start_failure",
     "stop_event",
-    "unless_caller_leaves",
+    "run_unless_disconnected",
 ]
 
-__getattr__ = imported_later(
+__getattr__ = lazy_imports(
     __name__,
     {
         "HTTP_ERRORS": "_http_client",
--- a/damaskcroft/rpc/_daemon.py
+++ b/damaskcroft/rpc/_daemon.py
@@ -11,7 +11,7 @@
 from damaskcroft.config import settings_or_exit
 from damaskcroft.observe import start_logs
 from damaskcroft.rpc._keys import Keys, KeysError, load_keys
-from damaskcroft.rpc._process import end_now, start_failure_logged
+from damaskcroft.rpc._process import force_exit, logging_start_failure
 
 # For tasks and threads that still run when the work of a program has ended;
 # after this time the process is forced to exit.
@@ -50,7 +50,7 @@
     )
     start_errors: tuple[type[Exception], ...] = (KeysError, OSError, *errors)
     start_logs(settings.process.name)
-    with start_failure_logged(*start_errors):
+    with logging_start_failure(*start_errors):
         keys = load_keys(settings.keys)
         run(_awaited(serve(settings, keys)))
 
@@ -59,4 +59,4 @@
     try:
         await work
     finally:
-        asyncio.get_running_loop().call_later(_EXIT_TIMEOUT_S, end_now)
+        asyncio.get_running_loop().call_later(_EXIT_TIMEOUT_S, force_exit)
--- a/damaskcroft/rpc/_http.py
+++ b/damaskcroft/rpc/_http.py
@@ -17,8 +17,8 @@
 from uvicorn.server import ServerState
 
 from damaskcroft.http1 import (
-    EndTimes,
     GracefulServer,
+    ShutdownTimes,
     shut_down_server,
     stop_listening,
 )
@@ -89,9 +89,9 @@
             await asyncio.sleep(_DATE_INTERVAL_S)
             self._update_date_header()
 
-    def give_notice(self) -> None:
+    def announce_shutdown(self) -> None:
         """Makes each answer from now on the last one of its connection."""
-        super().give_notice()
+        super().announce_shutdown()
         self._shared.is_ending = True
         for connection in self._connections:
             connection.mark_answer_as_last()
@@ -195,23 +195,25 @@
 
 
 def _remaining_times(
-    server: HttpServer, notice_s: float, end_s: float
-) -> EndTimes:
+    server: HttpServer, shutdown_notice_s: float, end_s: float
+) -> ShutdownTimes:
     """Times of a shutdown that begins now, after an optional notice."""
     now = asyncio.get_running_loop().time()
     noticed_at = now if server.noticed_at is None else server.noticed_at
-    within_s = max(0.0, noticed_at + notice_s - now) + end_s
-    return EndTimes(notice_s, notice_s, within_s, within_s)
+    within_s = max(0.0, noticed_at + shutdown_notice_s - now) + end_s
+    return ShutdownTimes(
+        shutdown_notice_s, shutdown_notice_s, within_s, within_s
+    )
 
 
 @contextlib.asynccontextmanager
-async def http_served(
+async def serve_http(
     address: str,
     routes: list[Any],
     *,
     idle_timeout_s: float = _IDLE_TIMEOUT_S,
     closing_body: bytes = b"",
-    notice_s: float = _NOTICE_DURATION_S,
+    shutdown_notice_s: float = _NOTICE_DURATION_S,
     end_s: float = _DRAIN_TIMEOUT_S,
 ) -> AsyncIterator[HttpServer]:
     """Serves `routes` and /metrics at `address` until the block ends.
@@ -222,9 +224,9 @@
         idle_timeout_s: time after which an idle connection is closed.
         closing_body: JSON body for callers whose request crosses the close of
             an idle connection; the status 408 says that it has not run.
-        notice_s: time from the end of the block, or from an earlier
-            `give_notice`, during which connections are still accepted and each
-            answer says that it is the last one of its connection.
+        shutdown_notice_s: time from the end of the block, or from an earlier
+            `announce_shutdown`, during which connections are still accepted and
+            each answer says that it is the last one of its connection.
         end_s: maximum time after that for answers in progress and for callers
             to close their connections.
 
@@ -242,18 +244,18 @@
             yield server
         finally:
             await shut_down_server(
-                server, _remaining_times(server, notice_s, end_s)
+                server, _remaining_times(server, shutdown_notice_s, end_s)
             )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallerLeft:
+class CallerDisconnected:
     """Result for a caller that disconnected; the work was cancelled."""
 
 
-async def unless_caller_leaves(
+async def run_unless_disconnected(
     request: Request, work: Coroutine[Any, Any, _T]
-) -> _T | CallerLeft:
+) -> _T | CallerDisconnected:
     """Runs work for a request until it is done or the caller disconnects.
 
     Args:
@@ -262,7 +264,7 @@
         work: work that is cancelled when the caller disconnects.
 
     Returns:
-        The result of the work, or CallerLeft.
+        The result of the work, or CallerDisconnected.
     """
     working = asyncio.create_task(work)
     leaving = asyncio.ensure_future(request.receive())
@@ -272,7 +274,7 @@
         )
         if working.done():
             return working.result()
-        return CallerLeft()
+        return CallerDisconnected()
     finally:
         for task in (working, leaving):
             task.cancel()
--- a/damaskcroft/rpc/_process.py
+++ b/damaskcroft/rpc/_process.py
@@ -26,7 +26,7 @@
 
 
 @contextlib.contextmanager
-def start_failure_logged(*errors: type[Exception]) -> Iterator[None]:
+def logging_start_failure(*errors: type[Exception]) -> Iterator[None]:
     """Runs a program in the block; logs an event if it cannot start.
 
     Raises:
@@ -40,7 +40,7 @@
         raise SystemExit(_EXIT_CANNOT_START) from error
 
 
-def end_now() -> None:
+def force_exit() -> None:
     """Forces a process to exit; called by a timer when its end takes too long.
 
     At a program's end asyncio waits for tasks and threads without a time
--- a/damaskcroft/rpc/_server.py
+++ b/damaskcroft/rpc/_server.py
@@ -19,7 +19,7 @@
 
 
 @contextlib.asynccontextmanager
-async def grpc_served(
+async def serve_grpc(
     address: str, services: Sequence[Any], keys: Keys
 ) -> AsyncIterator[Server]:
     """Serves `services` at `address` until the block ends.
--- a/damaskcroft/rpc/tests/test_channels.py
+++ b/damaskcroft/rpc/tests/test_channels.py
@@ -18,7 +18,7 @@
 import pytest
 
 from damaskcroft._generated import agent_grpc, agent_pb2
-from damaskcroft.rpc import CALL_ERRORS, ChannelPool, Keys, called, grpc_served
+from damaskcroft.rpc import CALL_ERRORS, ChannelPool, Keys, called, serve_grpc
 from damaskcroft.standins.loopback import free_address
 
 OPEN = Keys(None, None)
@@ -50,7 +50,7 @@
 def test_a_connection_that_is_being_closed_is_not_used(address):
     async def scenario():
         pool = ChannelPool(OPEN)
-        async with grpc_served(address, [Peer()], OPEN):
+        async with serve_grpc(address, [Peer()], OPEN):
             assert await ask(pool, address) == b"here"
             # The library does this when a keepalive was not answered.
             channel = pool.channel(address)
@@ -78,7 +78,7 @@
                     errors.append(error)
                     await asyncio.sleep(0.01)
 
-        async with grpc_served(address, [Peer()], OPEN):
+        async with serve_grpc(address, [Peer()], OPEN):
             task = asyncio.create_task(call_repeatedly())
             await asyncio.sleep(0.3)
             # The connection is lost and the task is cancelled at the same
@@ -98,7 +98,7 @@
 def test_a_call_without_a_reply_times_out(address):
     async def scenario():
         pool = ChannelPool(OPEN)
-        async with grpc_served(address, [Peer()], OPEN):
+        async with serve_grpc(address, [Peer()], OPEN):
             stub = agent_grpc.ChunksStub(pool.channel(address))
             began_at = asyncio.get_running_loop().time()
             with pytest.raises(TimeoutError):
@@ -127,7 +127,7 @@
     # Guards against a shutdown that waits for a call without a time limit.
     async def scenario():
         pool, peer = ChannelPool(OPEN), UncancellablePeer()
-        async with grpc_served(address, [peer], OPEN):
+        async with serve_grpc(address, [peer], OPEN):
             stub = agent_grpc.ChunksStub(pool.channel(address))
             async with stub.Exchange.open() as stream:
                 await stream.send_request()
--- a/damaskcroft/rpc/tests/test_end_of_server.py
+++ b/damaskcroft/rpc/tests/test_end_of_server.py
@@ -16,8 +16,8 @@
 from starlette.responses import PlainTextResponse, StreamingResponse
 from starlette.routing import Route
 
-from damaskcroft.rpc import http_served
-from damaskcroft.standins.kept_callers import Got, KeptCaller, asks_on
+from damaskcroft.rpc import serve_http
+from damaskcroft.standins.kept_callers import Got, KeptCaller, send_until_closed
 from damaskcroft.standins.loopback import free_address
 
 REQUEST = b"POST /work HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody"
@@ -39,7 +39,7 @@
 
     def serve(self, **options):
         routes = [Route("/work", self.work, methods=["POST"])]
-        return http_served(self.address, routes, **options)
+        return serve_http(self.address, routes, **options)
 
 
 @pytest.fixture
@@ -54,7 +54,7 @@
         async with work_server.serve():
             asking = [
                 asyncio.create_task(
-                    asks_on(work_server.address, REQUEST, outcomes)
+                    send_until_closed(work_server.address, REQUEST, outcomes)
                 )
                 for _ in range(CALLERS)
             ]
@@ -83,7 +83,7 @@
             return StreamingResponse(body(), headers=headers)
 
         routes = [Route("/work", parts, methods=["POST"])]
-        async with http_served(work_server.address, routes):
+        async with serve_http(work_server.address, routes):
             caller = await KeptCaller.connected(work_server.address)
             asking = asyncio.create_task(caller.asks(REQUEST))
             await asyncio.sleep(0.1)
@@ -103,7 +103,7 @@
 def test_connections_made_after_the_notice_are_answered_once(work_server):
     async def scenario():
         async with work_server.serve() as server:
-            server.give_notice()
+            server.announce_shutdown()
             caller = await KeptCaller.connected(work_server.address)
             got = await caller.asks(REQUEST)
             caller.close()
@@ -115,9 +115,11 @@
 def test_the_time_since_an_early_notice_counts(work_server):
     async def scenario():
         loop = asyncio.get_running_loop()
-        async with work_server.serve(notice_s=1.0, end_s=0.3) as server:
+        async with work_server.serve(
+            shutdown_notice_s=1.0, end_s=0.3
+        ) as server:
             caller = await KeptCaller.connected(work_server.address)
-            server.give_notice()
+            server.announce_shutdown()
             await asyncio.sleep(1.1)
             ending_at = loop.time()
         caller.close()
@@ -129,7 +131,7 @@
 def test_an_incomplete_request_gets_a_408_at_the_shutdown(work_server):
     # Guards against a 500, which says that its outcome is unknown.
     async def scenario():
-        async with work_server.serve(notice_s=0.1, end_s=0.1):
+        async with work_server.serve(shutdown_notice_s=0.1, end_s=0.1):
             caller = await KeptCaller.connected(work_server.address)
             asking = asyncio.create_task(caller.asks(REQUEST[:-2]))
             await asyncio.sleep(0.1)
--- a/damaskcroft/rpc/tests/test_http.py
+++ b/damaskcroft/rpc/tests/test_http.py
@@ -6,7 +6,7 @@
 
 from damaskcroft.http1 import TargetConnection, connect
 from damaskcroft.observe import metrics
-from damaskcroft.rpc import http_served
+from damaskcroft.rpc import serve_http
 from damaskcroft.standins.loopback import own_network, ports
 
 SERVED_S = 2.0
@@ -26,7 +26,7 @@
         return call_at(self, *args, **options)
 
     async def scenario():
-        async with http_served(ADDRESS, []):
+        async with serve_http(ADDRESS, []):
             monkeypatch.setattr(asyncio.BaseEventLoop, "call_at", count_call)
             await asyncio.sleep(SERVED_S)
             monkeypatch.undo()
@@ -38,7 +38,7 @@
 def test_answers_have_a_date_and_the_shutdown_is_immediate():
     async def scenario():
         loop = asyncio.get_running_loop()
-        async with http_served(ADDRESS, []):
+        async with serve_http(ADDRESS, []):
             connection = TargetConnection(await connect(ADDRESS, 1), "", "")
             await connection.send(b"GET", b"/metrics", [(b"host", b"h")], b"")
             head = await connection.read_head(lambda _: True)
@@ -58,7 +58,7 @@
 
     async def scenario():
         before = faults()
-        async with http_served(ADDRESS, [Route("/fails", fails)]):
+        async with serve_http(ADDRESS, [Route("/fails", fails)]):
             connection = TargetConnection(await connect(ADDRESS, 1), "", "")
             await connection.send(b"GET", b"/fails", [(b"host", b"h")], b"")
             head = await connection.read_head(lambda _: True)
--- a/damaskcroft/rpc/tests/test_http_client.py
+++ b/damaskcroft/rpc/tests/test_http_client.py
@@ -6,7 +6,7 @@
 from starlette.responses import PlainTextResponse
 from starlette.routing import Route
 
-from damaskcroft.rpc import http_served, make_http_client
+from damaskcroft.rpc import make_http_client, serve_http
 from damaskcroft.standins.loopback import free_address
 
 
@@ -24,7 +24,7 @@
         client = make_http_client(
             connections=1, connect_timeout_s=1, checks_kept=checks_reuse
         )
-        async with client, http_served(address, routes, idle_timeout_s=0.1):
+        async with client, serve_http(address, routes, idle_timeout_s=0.1):
             statuses = []
             for _ in range(2):
                 response = await client.post(
--- a/damaskcroft/rpc/tests/test_kept_connections.py
+++ b/damaskcroft/rpc/tests/test_kept_connections.py
@@ -20,8 +20,8 @@
 from starlette.responses import PlainTextResponse, StreamingResponse
 from starlette.routing import Route
 
-from damaskcroft.http1 import EndTimes, drained
-from damaskcroft.rpc import http_served
+from damaskcroft.http1 import ShutdownTimes, drained
+from damaskcroft.rpc import serve_http
 from damaskcroft.rpc._http import HttpServer
 from damaskcroft.standins.late_callers import LateCallers
 from damaskcroft.standins.loopback import free_address
@@ -50,7 +50,7 @@
 
     def serve(self, **options):
         routes = [Route("/work", self.work, methods=["POST"])]
-        return http_served(self.address, routes, **options)
+        return serve_http(self.address, routes, **options)
 
 
 @pytest.fixture
@@ -166,7 +166,7 @@
             caller.sock.setblocking(False)
             while not served.open_count:
                 await asyncio.sleep(0.01)
-            times = EndTimes(0.0, math.inf, 5.0, 5.0)
+            times = ShutdownTimes(0.0, math.inf, 5.0, 5.0)
             ending = asyncio.create_task(drained(served, times))
             await asyncio.sleep(0.1)
             await caller.send(REQUEST)
@@ -184,7 +184,7 @@
     callers = LateCallers(REQUEST)
 
     async def scenario():
-        async with server.serve(notice_s=0.0):
+        async with server.serve(shutdown_notice_s=0.0):
             callers.place = server.place
         return server.runs
 
@@ -272,7 +272,7 @@
 def test_the_wait_for_callers_to_close_is_bounded(server):
     async def scenario():
         loop = asyncio.get_running_loop()
-        async with server.serve(notice_s=0.1, end_s=0.2):
+        async with server.serve(shutdown_notice_s=0.1, end_s=0.2):
             caller = await Caller.open(server.place)
             began_at = loop.time()
         caller.sock.close()
@@ -296,7 +296,7 @@
             return StreamingResponse(body())
 
         routes = [Route("/work", parts, methods=["POST"])]
-        async with http_served(server.address, routes):
+        async with serve_http(server.address, routes):
             sock = socket.create_connection(server.place)
             sock.setblocking(False)
             caller = Caller(sock)
@@ -332,7 +332,7 @@
 
     async def scenario():
         routes = [Route("/work", too_long, methods=["POST"])]
-        async with http_served(server.address, routes):
+        async with serve_http(server.address, routes):
             sock = socket.create_connection(server.place)
             sock.setblocking(False)
             caller = Caller(sock)
--- a/damaskcroft/rpc/tests/test_unanswered.py
+++ b/damaskcroft/rpc/tests/test_unanswered.py
@@ -9,7 +9,7 @@
 from starlette.routing import Route
 
 from damaskcroft.observe import metrics
-from damaskcroft.rpc import _kept_connections, http_served
+from damaskcroft.rpc import _kept_connections, serve_http
 from damaskcroft.standins.kept_callers import KeptCaller
 from damaskcroft.standins.loopback import free_address
 
@@ -39,7 +39,9 @@
 
     def serve(self):
         route = Route("/things/{thing}", self._work, methods=["POST"])
-        return http_served(self.address, [route], notice_s=0.1, end_s=0.1)
+        return serve_http(
+            self.address, [route], shutdown_notice_s=0.1, end_s=0.1
+        )
 
     async def _work(self, request: Request):
         json.loads(await request.body())
@@ -127,7 +129,7 @@
     async def scenario():
         address = free_address()
         request = b"GET /metrics HTTP/1.1\r\nHost: h\r\n\r\n"
-        async with http_served(address, []):
+        async with serve_http(address, []):
             caller = await KeptCaller.connected(address)
             assert (await caller.asks(request)).status == "200"
             assert (await caller.asks(request)).status == "200"
--- a/damaskcroft/standins/_engine.py
+++ b/damaskcroft/standins/_engine.py
@@ -16,7 +16,7 @@
 from starlette.responses import JSONResponse, Response, StreamingResponse
 from starlette.routing import Route
 
-from damaskcroft.rpc import CallerLeft, unless_caller_leaves
+from damaskcroft.rpc import CallerDisconnected, run_unless_disconnected
 from damaskcroft.standins._journal import Journal
 
 _DEFAULT_TOKENS = 8
@@ -153,8 +153,10 @@
                 media_type="text/event-stream",
                 headers=headers,
             )
-        collected = await unless_caller_leaves(request, _collect(token_stream))
-        if isinstance(collected, CallerLeft):
+        collected = await run_unless_disconnected(
+            request, _collect(token_stream)
+        )
+        if isinstance(collected, CallerDisconnected):
             await token_stream.aclose()
             return Response(status_code=499)
         text = " ".join(collected)
--- a/damaskcroft/standins/kept_callers.py
+++ b/damaskcroft/standins/kept_callers.py
@@ -11,7 +11,7 @@
 import dataclasses
 import socket
 
-__all__ = ["Got", "KeptCaller", "asks_on"]
+__all__ = ["Got", "KeptCaller", "send_until_closed"]
 
 # Delay between sending and reading, as of a caller with other work to do.
 _READ_DELAY_S = 0.02
@@ -105,7 +105,7 @@
     return Got(lines[0].split()[1].decode(), keeps, len(rest) - lengths[0])
 
 
-async def asks_on(
+async def send_until_closed(
     address: str, request: bytes, outcomes: collections.Counter[str]
 ) -> None:
     """Sends requests on one connection until an answer ends it or none comes.
--- a/damaskcroft/standins/main.py
+++ b/damaskcroft/standins/main.py
@@ -8,7 +8,7 @@
 from starlette.routing import Route
 
 from damaskcroft.observe import start_logs
-from damaskcroft.rpc import http_served, start_failure_logged, stop_event
+from damaskcroft.rpc import logging_start_failure, serve_http, stop_event
 from damaskcroft.standins._engine import StandInEngine
 from damaskcroft.standins._journal import Journal
 from damaskcroft.standins._passthrough import PassThrough
@@ -74,8 +74,8 @@
 
     async def run() -> None:
         stop = stop_event()
-        async with http_served(listen, routes):
+        async with serve_http(listen, routes):
             await stop.wait()
 
-    with start_failure_logged(OSError):
+    with logging_start_failure(OSError):
         asyncio.run(run())
--- a/damaskcroft/standins/virtual_links.py
+++ b/damaskcroft/standins/virtual_links.py
@@ -107,7 +107,7 @@
             parallel_fetches=48,
             parallel_outside=1,
             wait_s=_STALL_S,
-            in_step=False,
+            paced_by_trees=False,
         )
     )
 
@@ -230,7 +230,7 @@
     """The origin as seen by one agent."""
 
     name = _ORIGIN
-    closed_for_s = 0.0
+    backoff_left_s = 0.0
 
     def __init__(self, fleet: "Fleet", reader: str):
         self._fleet = fleet
@@ -310,13 +310,13 @@
             agent.participant
             for agent in self._fleet.agents_by_address.values()
         ]
-        burst.plan_with(
+        burst.set_planner(
             make_planner("latin", self.participant.id, participants)
         )
         await burst.run(self.version)
         self.whole_at = now_s()
 
-    def holds_from_the_start(self) -> None:
+    def hold_all_chunks(self) -> None:
         """Writes the complete version into the store, without a transfer."""
         self.version = self.store.open_version(self._fleet.manifest, set())
         for index, data in enumerate(self._fleet.chunks):
@@ -360,7 +360,7 @@
         participant = Participant(address, address, region)
         self.agents_by_address[address] = LinkedAgent(self, participant)
 
-    async def bring_all(self, within_s: float) -> None:
+    async def run_burst(self, within_s: float) -> None:
         """Runs the burst of every agent without the version, up to a limit."""
         tasks = [
             asyncio.create_task(self._bring(agent))
@@ -381,7 +381,7 @@
         """Counts the distinct chunks read from the origin up to a time."""
         return len({i for at, i in self.read_outside if at <= seconds})
 
-    def whole_times(self) -> list[float]:
+    def completion_times(self) -> list[float]:
         """Returns sorted completion times; infinity for incomplete agents."""
         return sorted(
             agent.whole_at if agent.whole_at is not None else float("inf")
--- a/damaskcroft/tasks.py
+++ b/damaskcroft/tasks.py
@@ -8,7 +8,7 @@
 
 from damaskcroft.observe import log_event, log_warning, metrics
 
-__all__ = ["Signal", "Work", "background", "cancelled", "end_all", "kept_up"]
+__all__ = ["Signal", "Work", "background", "cancelled", "cancel_all", "kept_up"]
 
 Work = Callable[[], Awaitable[None]]
 
@@ -112,13 +112,13 @@
 
     Args:
         *works: task functions, restarted when they fail.
-        end_s: see `end_all`.
+        end_s: see `cancel_all`.
     """
     tasks = [asyncio.create_task(kept_up(work)) for work in works]
     try:
         yield
     finally:
-        await end_all(tasks, end_s)
+        await cancel_all(tasks, end_s)
 
 
 async def cancelled(task: asyncio.Task | None) -> None:
@@ -137,7 +137,7 @@
     _log_failure(task)
 
 
-async def end_all(
+async def cancel_all(
     tasks: Iterable[asyncio.Task], end_s: float = _CANCEL_TIMEOUT_S
 ) -> None:
     """Cancels tasks and waits for them for a bounded time.
--- a/damaskcroft/tests/test_tasks.py
+++ b/damaskcroft/tests/test_tasks.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from damaskcroft.tasks import Signal, background, cancelled, end_all
+from damaskcroft.tasks import Signal, background, cancel_all, cancelled
 
 
 def test_cancelling_task_may_itself_be_cancelled(loop):
@@ -54,7 +54,7 @@
         stuck = asyncio.create_task(ignore_cancellation())
         await asyncio.sleep(0)
         started_at = loop.time()
-        await end_all([*tasks, stuck])
+        await cancel_all([*tasks, stuck])
         assert all(task.done() for task in tasks)
         assert loop.time() - started_at < 7
 
@@ -89,7 +89,7 @@
         await asyncio.sleep(0)
         await cancelled(task)
         await cancelled(None)
-        await end_all([task])
+        await cancel_all([task])
 
     loop.run(scenario())
 
--- a/damaskcroft/weights/__init__.py
+++ b/damaskcroft/weights/__init__.py
@@ -24,11 +24,11 @@
 from damaskcroft.weights._pacer import Pacer
 from damaskcroft.weights._peers import (
     GrpcPeerSource,
+    PeerChunkMissing,
     PeerData,
     PeerFailed,
-    PeerNotYet,
+    PeerNotInBurst,
     PeerSource,
-    PeerUnaware,
 )
 from damaskcroft.weights._planner import (
     Participant,
@@ -59,9 +59,9 @@
     "Participant",
     "PeerData",
     "PeerFailed",
-    "PeerNotYet",
+    "PeerChunkMissing",
     "PeerSource",
-    "PeerUnaware",
+    "PeerNotInBurst",
     "RangeSource",
     "Planner",
     "StagedVersion",
--- a/damaskcroft/weights/_burst.py
+++ b/damaskcroft/weights/_burst.py
@@ -18,7 +18,7 @@
 from damaskcroft._generated import records_pb2
 from damaskcroft.clock import now_s
 from damaskcroft.observe import log_event, metrics
-from damaskcroft.tasks import Signal, end_all
+from damaskcroft.tasks import Signal, cancel_all
 from damaskcroft.weights._fetcher import BurstCounts, Fetcher
 from damaskcroft.weights._gossip import Gossip
 from damaskcroft.weights._late_reading import LateReading
@@ -66,10 +66,10 @@
         parallel_fetches: chunks requested from peers at once.
         parallel_outside: chunks read from outside at once.
         wait_s: how long a peer may keep a request open.
-        in_step: whether outside reads are paced by the progress of the trees.
-            False where the outside link has the rate of a few agents' links and
-            may be lost at any moment, because a chunk that is read early is
-            then safe.
+        paced_by_trees: whether outside reads are paced by the progress of the
+            trees. False where the outside link has the rate of a few agents'
+            links and may be lost at any moment, because a chunk that is read
+            early is then safe.
         outside_bytes_s: rate of the outside link, which all agents share; 0 if
             unknown.
     """
@@ -77,7 +77,7 @@
     parallel_fetches: int = 64
     parallel_outside: int = 2
     wait_s: float = 2.0
-    in_step: bool = True
+    paced_by_trees: bool = True
     outside_bytes_s: float = 0.0
 
 
@@ -128,7 +128,7 @@
         self._outside_slots = asyncio.Semaphore(options.parallel_outside)
         self._rng = random.Random(own_id)
 
-    def plan_with(self, planner: Planner, help_share: float = 0.0) -> None:
+    def set_planner(self, planner: Planner, help_share: float = 0.0) -> None:
         """Sets the planner, at first and when participants join or leave.
 
         Args:
@@ -204,7 +204,7 @@
                 for task in done:
                     task.result()
         finally:
-            await end_all([completion, *tasks])
+            await cancel_all([completion, *tasks])
 
     def _fetcher(self, version: StagedVersion) -> Fetcher:
         return Fetcher(
@@ -239,7 +239,7 @@
 
     async def _gossip(self, version: StagedVersion) -> None:
         """Gossips if agents read chunks from outside beyond their share."""
-        if self._options.in_step:
+        if self._options.paced_by_trees:
             return
         while self._planner is None:
             await asyncio.sleep(_POLL_S)
@@ -253,7 +253,7 @@
 
     def _can_read_in_turn(self) -> bool:
         """Whether agents exchange holdings and the participants are known."""
-        return not self._options.in_step and self._planner is not None
+        return not self._options.paced_by_trees and self._planner is not None
 
     def _must_read_in_turn(self, version: StagedVersion) -> bool:
         """Whether concurrent reads by all agents would all be late."""
@@ -339,7 +339,7 @@
         async with asyncio.TaskGroup() as group:
             for _ in range(self._options.parallel_outside):
                 group.create_task(self._read_own(version, fetcher, indexes))
-        if not self._options.in_step and self._planner is not None:
+        if not self._options.paced_by_trees and self._planner is not None:
             late = LateReading(version, fetcher, self._planner, self._suspects)
             await late.run()
             return
@@ -381,7 +381,7 @@
         when one a fixed distance before it has arrived over the tree.
         """
         for index in indexes:
-            if self._options.in_step:
+            if self._options.paced_by_trees:
                 await self._wait_for_progress(version, index - self._read_ahead)
             while not version.held[index]:
                 await self._attempt(version, fetcher, index)
@@ -494,7 +494,7 @@
         working.result()
         return True
     finally:
-        await end_all([working])
+        await cancel_all([working])
 
 
 def help_share(
--- a/damaskcroft/weights/_fetcher.py
+++ b/damaskcroft/weights/_fetcher.py
@@ -13,11 +13,11 @@
 from damaskcroft.weights._pacer import Pacer
 from damaskcroft.weights._peer_selection import PeerSelector
 from damaskcroft.weights._peers import (
+    PeerChunkMissing,
     PeerData,
     PeerFailed,
-    PeerNotYet,
+    PeerNotInBurst,
     PeerSource,
-    PeerUnaware,
 )
 from damaskcroft.weights._planner import Participant
 from damaskcroft.weights._store import StagedVersion
@@ -163,10 +163,10 @@
                 self._suspects.clear(peer.id)
                 version.holdings.note(peer.id, held, known)
                 self._store_chunk(index, data, "peer", peer.id)
-            case PeerNotYet(held=held, known=known):
+            case PeerChunkMissing(held=held, known=known):
                 version.holdings.note(peer.id, held, known)
                 await asyncio.sleep(_MIN_PAUSE_S)
-            case PeerUnaware():
+            case PeerNotInBurst():
                 await asyncio.sleep(_MIN_PAUSE_S)
                 self._unaware.record(peer.id)
             case PeerFailed(reason=reason):
@@ -176,7 +176,7 @@
         """Reads a chunk from the first outside source that delivers it."""
         has_failed = False
         for source in self._outside:
-            if source.closed_for_s > 0:
+            if source.backoff_left_s > 0:
                 continue
             with self.transfers.transfer(index) as may_begin:
                 if not may_begin:
@@ -224,7 +224,7 @@
 
     def _pause_s(self) -> float:
         """Time until an outside source may be asked again, randomised."""
-        wait_s = min(source.closed_for_s for source in self._outside)
+        wait_s = min(source.backoff_left_s for source in self._outside)
         wait_s = min(max(wait_s, _MIN_PAUSE_S), _MAX_PAUSE_S)
         return wait_s * (1 + self._rng.random())
 
--- a/damaskcroft/weights/_manifest_fetcher.py
+++ b/damaskcroft/weights/_manifest_fetcher.py
@@ -8,7 +8,7 @@
 from damaskcroft.weights._fetcher import CORRUPT_SUSPECT_S, SUSPECT_S
 from damaskcroft.weights._manifest import load_manifest
 from damaskcroft.weights._outside import OutsideData, OutsideSource
-from damaskcroft.weights._peers import PeerFailed, PeerNotYet, PeerSource
+from damaskcroft.weights._peers import PeerChunkMissing, PeerFailed, PeerSource
 from damaskcroft.weights._planner import Participant
 from damaskcroft.weights._suspects import Suspects
 from damaskcroft.weights._unaware import UnawareAgents
@@ -78,7 +78,7 @@
 
     async def _from_outside(self) -> bytes | None:
         for source in self._outside:
-            if source.closed_for_s > 0:
+            if source.backoff_left_s > 0:
                 continue
             outcome = await source.fetch_manifest(self._path)
             if isinstance(outcome, OutsideData):
@@ -95,7 +95,7 @@
         if isinstance(outcome, PeerFailed):
             self._suspects.add(parent.id, SUSPECT_S)
             return None
-        if isinstance(outcome, PeerNotYet):
+        if isinstance(outcome, PeerChunkMissing):
             return None
         try:
             load_manifest(outcome.data, digest)
--- a/damaskcroft/weights/_outside.py
+++ b/damaskcroft/weights/_outside.py
@@ -76,7 +76,7 @@
         )
 
     @property
-    def closed_for_s(self) -> float:
+    def backoff_left_s(self) -> float:
         """Time for which the source must not be asked, in seconds."""
         return max(0.0, self._backoff_until - now_s())
 
@@ -104,8 +104,8 @@
             headers: headers of the request.
             expected: the only status whose body is usable.
         """
-        if self.closed_for_s > 0:
-            return OutsideFailed("throttled", self.closed_for_s)
+        if self.backoff_left_s > 0:
+            return OutsideFailed("throttled", self.backoff_left_s)
         url = f"{self._base_url}/{path}"
         try:
             async with self._client.stream(
--- a/damaskcroft/weights/_peers.py
+++ b/damaskcroft/weights/_peers.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PeerNotYet:
+class PeerChunkMissing:
     """The peer answers but does not hold the chunk yet.
 
     Attributes:
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PeerUnaware:
+class PeerNotInBurst:
     """The peer answers but takes no part in the version's burst."""
 
 
@@ -54,7 +54,7 @@
     reason: str
 
 
-PeerOutcome = PeerData | PeerNotYet | PeerUnaware | PeerFailed
+PeerOutcome = PeerData | PeerChunkMissing | PeerNotInBurst | PeerFailed
 
 
 TransferGuard = Callable[[], contextlib.AbstractContextManager[bool]]
@@ -88,7 +88,7 @@
     @abc.abstractmethod
     async def fetch_manifest(
         self, address: str, digest: str, path: str = ""
-    ) -> PeerData | PeerNotYet | PeerFailed:
+    ) -> PeerData | PeerChunkMissing | PeerFailed:
         """Requests a manifest, by its digest or by the version's path."""
 
     @abc.abstractmethod
@@ -115,12 +115,12 @@
         self._delays_by_address: dict[str, PathDelay] = {}
 
     @property
-    def quickest_part_s(self) -> float:
+    def shortest_part_s(self) -> float:
         """Shortest recent transfer time of a part over this machine's link."""
         return self._window.min_transfer_s
 
     @property
-    def link_is_quick(self) -> bool:
+    def is_link_fast(self) -> bool:
         """Whether parts arrived fast just now; False if none arrived."""
         return self._window.is_fast
 
@@ -185,7 +185,7 @@
             async with asyncio.timeout(timeout_s):
                 with self._open_requests.track(should_abandon) as abandoned:
                     answer = await _next_message(stream, abandoned)
-            if isinstance(answer, PeerNotYet):
+            if isinstance(answer, PeerChunkMissing):
                 return answer
             if answer is None:
                 return PeerFailed("ended_early")
@@ -193,12 +193,12 @@
                 timeout_s = self._stall_s
                 continue
             if answer.outcome == agent_pb2.CHUNK_UNKNOWN_MANIFEST:
-                return PeerUnaware()
+                return PeerNotInBurst()
             if answer.outcome != agent_pb2.CHUNK_READY:
-                return PeerNotYet(answer.held, answer.known)
+                return PeerChunkMissing(answer.held, answer.known)
             with transfer() as may_begin:
                 if not may_begin:
-                    return PeerNotYet(answer.held, answer.known)
+                    return PeerChunkMissing(answer.held, answer.known)
                 return await self._receive_parts(stream, answer, address)
 
     async def _receive_parts(
@@ -228,7 +228,7 @@
 
     async def fetch_manifest(
         self, address: str, digest: str, path: str = ""
-    ) -> PeerData | PeerNotYet | PeerFailed:
+    ) -> PeerData | PeerChunkMissing | PeerFailed:
         """Requests a manifest in one call."""
         stub = agent_grpc.ChunksStub(self._pool.channel(address))
         request = agent_pb2.ManifestRequest(manifest=digest, path=path)
@@ -238,7 +238,7 @@
             return PeerFailed("stalled")
         except CALL_ERRORS:
             return PeerFailed("unreachable")
-        return PeerData(reply.content) if reply.content else PeerNotYet()
+        return PeerData(reply.content) if reply.content else PeerChunkMissing()
 
     async def exchange(
         self, address: str, rumour: agent_pb2.Rumour
@@ -253,8 +253,8 @@
 
 async def _next_message(
     stream: Any, abandoned: asyncio.Future[None]
-) -> agent_pb2.ChunkPart | PeerNotYet | None:
-    """Returns the next message; PeerNotYet if the request is abandoned."""
+) -> agent_pb2.ChunkPart | PeerChunkMissing | None:
+    """Returns the next message, or PeerChunkMissing if abandoned."""
     receiving = asyncio.ensure_future(stream.recv_message())
     # The task may fail when it is no longer awaited; its exception must be
     # retrieved even then.
@@ -265,6 +265,6 @@
         await asyncio.wait(
             {receiving, abandoned}, return_when=asyncio.FIRST_COMPLETED
         )
-        return receiving.result() if receiving.done() else PeerNotYet()
+        return receiving.result() if receiving.done() else PeerChunkMissing()
     finally:
         receiving.cancel()
--- a/damaskcroft/weights/_rescue.py
+++ b/damaskcroft/weights/_rescue.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Collection
 
 from damaskcroft.clock import now_s
-from damaskcroft.tasks import end_all
+from damaskcroft.tasks import cancel_all
 from damaskcroft.weights._fetcher import Fetcher
 from damaskcroft.weights._peer_selection import PeerSelector
 from damaskcroft.weights._planner import Planner
@@ -219,7 +219,7 @@
                     raise self._failure
                 self._start_fetches(self._overdue.overdue(), suspects)
         finally:
-            await end_all(list(self._running_by_index.values()))
+            await cancel_all(list(self._running_by_index.values()))
 
     def _start_fetches(self, overdue: list[int], suspects: Suspects) -> None:
         selector = self._selector()
--- a/damaskcroft/weights/_store.py
+++ b/damaskcroft/weights/_store.py
@@ -136,7 +136,7 @@
             if hashlib.sha256(data).digest() == chunk.digest:
                 self._mark_held(index)
 
-    def verify_whole(self) -> bool:
+    def verify_all_chunks(self) -> bool:
         """Reads all chunks back and drops those that are corrupt.
 
         Returns:
--- a/damaskcroft/weights/tests/test_burst.py
+++ b/damaskcroft/weights/tests/test_burst.py
@@ -16,10 +16,10 @@
     OutsideFailed,
     Pacer,
     Participant,
+    PeerChunkMissing,
     PeerData,
     PeerFailed,
-    PeerNotYet,
-    PeerUnaware,
+    PeerNotInBurst,
     StoreFullError,
     build_manifest,
     load_manifest,
@@ -51,7 +51,7 @@
     """Serves the chunks of a folder and counts the reads."""
 
     name = "origin"
-    closed_for_s = 0.0
+    backoff_left_s = 0.0
 
     def __init__(self, folder, content):
         self.folder = folder
@@ -102,20 +102,20 @@
             return PeerFailed("stalled")
         version = self.versions_by_id.get(address)
         if version is None:
-            return PeerUnaware()
+            return PeerNotInBurst()
         version.holdings.note(request.requester, request.held)
         if address in self.slow:
             await asyncio.sleep(8.0)
         index = version.index_by_digest[request.digest]
         if not await version.wait_for_chunk(index, request.wait_ms / 1000):
-            return PeerNotYet(packed(version.held))
+            return PeerChunkMissing(packed(version.held))
         data = version.read_chunk(index)
         if address in self.corrupt:
             data = data[:-1] + bytes([data[-1] ^ 1])
         return PeerData(data, packed(version.held))
 
     async def fetch_manifest(self, address, digest):
-        return PeerNotYet()
+        return PeerChunkMissing()
 
 
 @pytest.fixture
@@ -149,7 +149,7 @@
         participants = [
             Participant(i, i, f"d{int(i[-1]) % 2}") for i in members
         ]
-        burst.plan_with(make_planner("latin", agent_id, participants))
+        burst.set_planner(make_planner("latin", agent_id, participants))
         return burst
 
     async def run(self, running, members=IDS):
@@ -167,7 +167,7 @@
         digest = manifest_digest(self.content)
         for agent_id in running:
             version = self.stores[agent_id].versions_by_digest[digest]
-            assert version.verify_whole()
+            assert version.verify_all_chunks()
             for name in ("0.bin", "1.bin", "config.json"):
                 copied = (version.files_folder / name).read_bytes()
                 assert copied == (self.folder / "origin" / name).read_bytes()
@@ -313,7 +313,7 @@
 
 def test_chunks_assigned_to_a_slow_reader_are_read_by_another(loop, cluster):
     """The slow agent's link takes 8 s for a chunk, also from outside."""
-    cluster.options = BurstOptions(wait_s=1.0, in_step=False)
+    cluster.options = BurstOptions(wait_s=1.0, paced_by_trees=False)
     cluster.peers.slow = {"agent-1"}
     others = [i for i in IDS if i != "agent-1"]
     version = cluster.stores["agent-1"].open_version(cluster.content, set())
