--- a/damaskcroft/agent/_fleet_stager.py
+++ b/damaskcroft/agent/_fleet_stager.py
@@ -67,8 +67,8 @@
         peers: client for requests to other agents.
         pacer: paces downloads.
         options: bounds of a burst.
-        weights_s: time from the announcement of a version until no request
-            may begin on an older one; 0 for no bound.
+        weights_s: time from the acceptance of a desired version by control
+            until no request may begin on an older one; 0 for no bound.
     """
 
     def __init__(
--- a/damaskcroft/agent/_fleet_switcher.py
+++ b/damaskcroft/agent/_fleet_switcher.py
@@ -88,7 +88,7 @@
         view.listen(self._on_update)
 
     async def run(self) -> None:
-        """Drops expired weights and loads staged ones, until cancelled."""
+        """Drops expiring weights and loads staged ones, until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._run_guard())
             group.create_task(self._run_switching())
--- a/damaskcroft/agent/_weights_guard.py
+++ b/damaskcroft/agent/_weights_guard.py
@@ -1,4 +1,4 @@
-"""Removal of expired weights from a target, so that late requests can't start.
+"""Removal of old weights from a target shortly before they expire.
 
 Entries stop sending to targets with old weights before these expire, by the
 delays that they have measured. A request that has left an entry can't be called
@@ -19,8 +19,8 @@
 
 # Old weights are dropped this long before the time from which requests must
 # begin on newer ones, because a request received earlier may wait that long in
-# the target's queue. Entries stop sending to the target 0.6 s before the drop
-# (see Services).
+# the target's queue. Entries stop sending to the target at least 0.6 s before
+# that time, and so at least 0.1 s before the drop (see Services).
 _DROP_BEFORE_S = 0.5
 # The same if the link is known to be quick: entries can then withdraw requests
 # that have not begun in time, and the newer weights may still arrive, so the
@@ -36,14 +36,14 @@
 ) -> list[fleet_pb2.WeightGoal]:
     """Returns the newest versions that an agent can guard at its target.
 
-    To guard a version is to drop older weights once they expire. A version of
+    To guard a version is to drop older weights before they expire. A version of
     unknown age is left out, because the agent can't tell when that is.
 
     Args:
         view: the agent's view of the fleet.
         service: name of the target's service.
-        weights_s: time from the announcement of a version until no request
-            may begin on an older one; 0 for no bound.
+        weights_s: time from the acceptance of a desired version by control
+            until no request may begin on an older one; 0 for no bound.
 
     Returns:
         One version for each model; none if the targets load models in one
--- a/damaskcroft/consensus/_applier.py
+++ b/damaskcroft/consensus/_applier.py
@@ -22,7 +22,7 @@
     Attributes:
         commit_index: index of the newest entry known to be committed.
         applied_index: index of the newest entry applied to the state machine.
-        changed: set after entries were applied.
+        changed: notified after entries were applied.
     """
 
     def __init__(
--- a/damaskcroft/consensus/_disk.py
+++ b/damaskcroft/consensus/_disk.py
@@ -11,8 +11,8 @@
 
 from damaskcroft.observe import log_event
 
-# Close enough to the election timeout that an operation this slow may cause a
-# leader change or refused calls.
+# A considerable part of an election timeout (0.6 s by default): callers that
+# wait for such an operation may see a leader change or refused calls.
 _SLOW_OPERATION_S = 0.1
 
 
@@ -110,14 +110,14 @@
 
     def overwrite(self, name: str, offset_bytes: int, content: bytes) -> None:
         """Writes in place and syncs the file's data."""
-        # On Linux, pwrite(2) on a handle opened with O_APPEND appends, so the
-        # kept handle can't be used.
+        # On Linux, pwrite on a handle opened with O_APPEND appends (pwrite(2),
+        # section BUGS), so the kept handle can't be used.
         handle = os.open(self._folder / name, os.O_WRONLY)
         try:
             with _log_if_slow("overwrite", name):
                 written = os.pwrite(handle, content, offset_bytes)
                 if written < len(content):
-                    raise OSError(errno.ENOSPC, "partial write", name)
+                    raise OSError(errno.ENOSPC, "a part was written", name)
                 os.fdatasync(handle)
         finally:
             os.close(handle)
--- a/damaskcroft/consensus/_leadership_transfer.py
+++ b/damaskcroft/consensus/_leadership_transfer.py
@@ -59,7 +59,7 @@
         options: options of the replica.
         leadership: the replica.
         transport: sends TimeoutNow to the other voters.
-        changed: set when any part of `leadership` has changed.
+        changed: notified when any part of `leadership` has changed.
     """
 
     __slots__ = (
@@ -179,7 +179,11 @@
         return min(candidates, key=peers.silent_s, default=None)
 
     async def _send_timeout_now(self, voter: consensus_pb2.Voter) -> bool:
-        """Sends TimeoutNow; returns whether the voter starts an election."""
+        """Sends TimeoutNow; returns whether the voter has agreed to stand.
+
+        Without a reply the voter may still start an election, so the lease
+        stays ended; only a refusal restores it.
+        """
         previous_term, self._lease_ended_term = (
             self._lease_ended_term,
             self._leadership.term,
--- a/damaskcroft/consensus/tests/test_log.py
+++ b/damaskcroft/consensus/tests/test_log.py
@@ -119,7 +119,7 @@
 def test_entries_after_interrupted_reset_are_readable(
     interrupted_reset,
 ):
-    """Entries stored after such a failure were unreadable or inconsistent."""
+    """Entries after such a failure were unreadable or a mix of two logs."""
     _, folder, index = interrupted_reset
     log = DurableLog(FolderDisk(folder))
     assert (log.last_index, log.last_term) == (index, 2)
--- a/damaskcroft/control/tests/test_fleet_service.py
+++ b/damaskcroft/control/tests/test_fleet_service.py
@@ -229,7 +229,7 @@
     """Guards against entries that send no requests after control restarts.
 
     All control nodes had been killed, and version 2 was set within 3 s of their
-    restart. An entry applied that early may be replayed from the log, so no
+    restart. A command applied that early may be replayed from the log, so no
     node sent an age, not even the leader, which knows the time because it
     accepted the version. Entries took version 2 to be due at once, while no
     target could serve it yet, and used no target for some seconds.
--- a/damaskcroft/ctl/_causes.py
+++ b/damaskcroft/ctl/_causes.py
@@ -23,7 +23,7 @@
     Attributes:
         lines_before: events of its processes and targets up to its last line.
         later_lines: lines of the process of its last line after that line.
-        idle_agents: agents of its service that had no desired version then.
+        idle_agents: agents of its service that wanted no weights then.
     """
 
     lines_before: list[Line]
--- a/damaskcroft/ctl/_why.py
+++ b/damaskcroft/ctl/_why.py
@@ -57,7 +57,7 @@
 
 
 def _idle_agents(last: Line, events: list[Line]) -> list[str]:
-    """Returns agents without a desired version at the time of a line.
+    """Returns agents that wanted no weights at the time of a line.
 
     Only agents of the line's service are considered.
     """
--- a/damaskcroft/ctl/tests/test_why.py
+++ b/damaskcroft/ctl/tests/test_why.py
@@ -170,7 +170,7 @@
     )
 
 
-# --- Weights past their expiry -----------------------------------------------
+# --- Weights of which a newer version is due ---------------------------------
 
 
 @pytest.mark.parametrize(
--- a/damaskcroft/entry/_claims.py
+++ b/damaskcroft/entry/_claims.py
@@ -91,7 +91,7 @@
             decision = self._decision(reply)
             if decision is not None:
                 return decision
-            # Another entry holds the claim: ask its target about the run.
+            # Another run holds the claim: ask its agent what became of it.
             refusal = await self._resolve_run(call, reply)
             if refusal is not None:
                 return refusal
--- a/damaskcroft/entry/tests/test_crashing_calls.py
+++ b/damaskcroft/entry/tests/test_crashing_calls.py
@@ -26,7 +26,7 @@
 
     async def scenario():
         first = await cluster.send(0, "", body_key="b")
-        # Attempts of this call ran, so that it must not be retried.
+        # Attempts of this call ran, so the refusal names no time for a retry.
         assert (first.status_code, ran_status(first)) == (502, "unknown")
         assert "Retry-After" not in first.headers
         assert len(cluster.journal) == 3
--- a/damaskcroft/entry/tests/test_silent_agents.py
+++ b/damaskcroft/entry/tests/test_silent_agents.py
@@ -17,10 +17,10 @@
         engine.work_s = 0.5
 
     async def scenario():
-        tasks = cluster.send(0, key, body_key="b")
+        task = cluster.send(0, key, body_key="b")
         await asyncio.sleep(0.2)
         await cluster.publish_roster(lapsed=AGENTS)
-        return await tasks
+        return await task
 
     assert loop.run(scenario()).status_code == 200
     assert len(cluster.journal) == 1
--- a/damaskcroft/fleet/_announcements.py
+++ b/damaskcroft/fleet/_announcements.py
@@ -61,7 +61,7 @@
     if announcement.phase == fleet_pb2.TARGET_GONE:
         return announcement
     if not announcement.service:
-        return Unusable("unknown_service", "empty service name")
+        return Unusable("unknown_service", "no name")
     if not _is_connectable(announcement.address):
         return Unusable("bad_address", announcement.address)
     fault = _out_of_range_number(announcement)
--- a/damaskcroft/fleet/_targets.py
+++ b/damaskcroft/fleet/_targets.py
@@ -27,9 +27,9 @@
 # number covers days of releases.
 _MAX_RECORDED_ENDS = 4096
 # Maximum number of announcements kept: four times the targets of the largest
-# planned fleet. The one received least recently is evicted first. Running
-# targets announce themselves every second or so, so that announcements of other
-# senders cannot exhaust the memory.
+# planned fleet, so that announcements of other senders cannot exhaust the
+# memory. The one received least recently is evicted first. Running targets are
+# safe from that, because they announce themselves every second or so.
 _MAX_ANNOUNCEMENTS = 16384
 # Service in the record of an end that applies to all services.
 _ALL_SERVICES = ""
--- a/damaskcroft/forwarding/_gate.py
+++ b/damaskcroft/forwarding/_gate.py
@@ -140,7 +140,7 @@
         return self._limits
 
     def refused(self, status: int, reason: str) -> Headers:
-        """Logs a request that was refused before it was read."""
+        """Counts and logs a refusal before reading; returns its headers."""
         metrics.REFUSALS.labels(reason, Ran.NO.value).inc()
         log_event("refused_unread", status=status, reason=reason)
         return []
--- a/damaskcroft/forwarding/_hedge.py
+++ b/damaskcroft/forwarding/_hedge.py
@@ -73,7 +73,7 @@
         return self._second
 
     def take_over(self) -> None:
-        """Ends the other attempts, because this one answers the caller."""
+        """Ends the other attempts, so that only this one goes on."""
         self.close()
         for earlier in self._primary_attempts():
             earlier.abort(_SILENT)
--- a/damaskcroft/forwarding/_running.py
+++ b/damaskcroft/forwarding/_running.py
@@ -67,8 +67,9 @@
     def abort_lost(self, silent_ids: Collection[str]) -> None:
         """Ends repeatable attempts that can't succeed at their target.
 
-        These are attempts that have not begun at targets whose weights are
-        about to be replaced, and those at restarted targets that are silent.
+        These are attempts that have not begun at targets whose weights are too
+        old for a request to begin on them, and those at restarted targets that
+        are silent.
 
         Args:
             silent_ids: ids of the silent targets.
--- a/damaskcroft/forwarding/_services.py
+++ b/damaskcroft/forwarding/_services.py
@@ -66,8 +66,8 @@
         Args:
             view: the entry's view of the fleet.
             region_by_domain: region of each failure domain.
-            weights_s: time from the announcement of a desired version of
-                weights until no request may begin on an older one; 0 for no
+            weights_s: time from the acceptance of a desired version of weights
+                by control until no request may begin on an older one; 0 for no
                 bound.
             answer_delay_s: response delay of a target, by its id.
         """
--- a/damaskcroft/hosted/tests/deployment.py
+++ b/damaskcroft/hosted/tests/deployment.py
@@ -50,7 +50,7 @@
 
 
 class Deployment:
-    """Processes of the hosted programs, fields like control-11 or entry-14."""
+    """Processes of the hosted programs, by names such as control-11."""
 
     def __init__(self, folder):
         self.folder = folder
--- a/damaskcroft/hosted/tests/soak/_answer_checks.py
+++ b/damaskcroft/hosted/tests/soak/_answer_checks.py
@@ -29,7 +29,7 @@
     Attributes:
         target: name of the target.
         start: the start of the target.
-        began_at: time of the start, by `time.monotonic`.
+        began_at: time at which the execution began, by `time.monotonic`.
         ended_at: time when the target completed the answer or noticed that its
             connection was closed.
     """
--- a/damaskcroft/hosted/tests/test_suspended.py
+++ b/damaskcroft/hosted/tests/test_suspended.py
@@ -89,7 +89,7 @@
 def test_a_lease_expires_during_a_suspension(machine, run_daemon):
     """Guards against a holder that acts on a lease that has long expired.
 
-    Holder and lease registry each measure a lease on their own clock, and the
+    The holder and the lease ledger measure a lease on their own clocks, and the
     holder's is to expire first. The clock of a holder that was suspended for
     5 s stopped meanwhile, so that its lease expired last. Every daemon's event
     loop used that clock.
--- a/damaskcroft/membership/__init__.py
+++ b/damaskcroft/membership/__init__.py
@@ -4,8 +4,8 @@
 Leases follow "Leases: An Efficient Fault-Tolerant Mechanism for Distributed
 File Cache Consistency" (Gray and Cheriton, 1989). The holder measures its lease
 from the time it sent the renewal, the granter from the time it received it.
-Both use monotonic clocks that also count suspensions, so that the holder always
-stops first.
+Each uses its own monotonic clock, which also counts suspensions, so that the
+holder always stops first.
 """
 
 from damaskcroft.membership._client import LeaseClient
--- a/damaskcroft/membership/_client.py
+++ b/damaskcroft/membership/_client.py
@@ -1,6 +1,7 @@
 """The holder's side of the lease protocol.
 
-The client has a connection to one control node at a time, the leader.
+The client is connected to one control node at a time. It tries the nodes until
+it reaches the leader.
 """
 
 import asyncio
--- a/damaskcroft/quarantine/_crash_detection.py
+++ b/damaskcroft/quarantine/_crash_detection.py
@@ -24,7 +24,7 @@
 _CHECK_DELAYS_S = (0.0, 0.05, 0.2)
 _CONNECT_TIMEOUT_S = 0.5
 # A target that crashed restarts and announces itself within this time. A start
-# that ends later may have ended for any reason.
+# that is replaced later may have ended for any reason.
 _RESTART_WITHIN_S = 10.0
 # Suffix of the id of a start that replaced a crashed one and has not been
 # announced yet.
--- a/damaskcroft/quarantine/_verdicts.py
+++ b/damaskcroft/quarantine/_verdicts.py
@@ -84,7 +84,12 @@
         return starts_by_suspect(self._uncleared_by_start)
 
     def culprits(self) -> set[bytes]:
-        """Requests that explain crashes, found in the order of the verdicts."""
+        """Requests that explain crashes.
+
+        The request that became a culprit first is found first. The crashes
+        under it then count against other requests only where
+        `_add_shared_crashes` adds them.
+        """
         culprits: set[bytes] = set()
         unexplained = dict(self._uncleared_by_start)
         while True:
--- a/damaskcroft/quarantine/tests/fleet_simulation.py
+++ b/damaskcroft/quarantine/tests/fleet_simulation.py
@@ -116,7 +116,7 @@
             self._watch.look()
 
     async def ask(self, request):
-        """Sends a request deadline_at it ends.
+        """Sends a request, and sends it again after a loss, until it ends.
 
         Returns:
             How it ended: answered, held, lost, or refused.
--- a/damaskcroft/routing/_choice.py
+++ b/damaskcroft/routing/_choice.py
@@ -93,7 +93,10 @@
         self._outstanding_by_id[target_id] -= 1
 
     def told(self, target_id: str, outstanding: int) -> None:
-        """Records the load in a reply, less this entry's current requests."""
+        """Records the load in a reply, less this entry's current requests.
+
+        The record stays until the next reply, while the load of others changes.
+        """
         others = outstanding - self._outstanding_by_id.get(target_id, 0)
         self._reported_by_id[target_id] = max(0, others)
 
--- a/damaskcroft/routing/_queue.py
+++ b/damaskcroft/routing/_queue.py
@@ -1,8 +1,8 @@
 """The queue of requests at an entry while every target of a service is full.
 
 It is for loads above the capacity of the targets that last some seconds: many
-users at once, lost targets, or new targets that are still empty. A target's own
-queue is first come, first served, so that under such a load every answer is
+users at once, lost targets, or new targets that hold no weights yet. A target's
+own queue is first come, first served, so that under such a load every answer is
 late. Here requests that can still be answered in time go first. The others
 wait for the remaining capacity, and are refused with a Retry-After before most
 of their time has passed, or at once during a standing queue.
--- a/damaskcroft/rpc/_channels.py
+++ b/damaskcroft/rpc/_channels.py
@@ -67,7 +67,10 @@
         return channel
 
     def drop(self, address: str) -> None:
-        """Closes the channel to an address that is no longer in use."""
+        """Closes the channel to an address whose connection may be dead.
+
+        The next call opens a new one.
+        """
         channel = self._channels_by_address.pop(address, None)
         if channel is not None:
             channel.close()
--- a/damaskcroft/weights/_burst.py
+++ b/damaskcroft/weights/_burst.py
@@ -52,7 +52,7 @@
 # trees: some for each hop.
 _READ_AHEAD_PER_HOP = 4
 _MIN_READ_AHEAD = 8
-# Reading more copies than this from outside costs more time than it saves,
+# Reading more than this beyond the first copy costs more time than it saves,
 # where the origin's link has twice the rate of a machine's:
 # docs/design/002-burst.md.
 _MAX_EXTRA_COPIES = 0.5
@@ -378,7 +378,7 @@
 
         If all agents read at once, all chunks would share the outside link's
         rate and arrive late and at the same time. A chunk is therefore read
-        when one a fixed distance before it has arrived over the tree.
+        when one `_read_ahead` places before it has arrived over the tree.
         """
         for index in indexes:
             if self._options.in_step:
--- a/damaskcroft/weights/_fetcher.py
+++ b/damaskcroft/weights/_fetcher.py
@@ -27,8 +27,8 @@
 
 __all__ = ["CORRUPT_SUSPECT_S", "SUSPECT_S", "BurstCounts", "Fetcher"]
 
-# A silent agent may be behind a full link, which lasts for seconds; a refused
-# connection may be due to a restart, which takes about a second.
+# A silent agent may be behind a full link; a refused connection may be due to
+# a restart, which takes about a second.
 _STALLED_SUSPECT_S = 5.0
 SUSPECT_S = 1.0
 CORRUPT_SUSPECT_S = 300.0
--- a/damaskcroft/weights/_late_reading.py
+++ b/damaskcroft/weights/_late_reading.py
@@ -25,7 +25,8 @@
 # link that all agents share, and the news of it.
 _LATER_GRACE_S = 0.1
 _NEXT_GRACE_S = 0.4
-# Delay between the agents that may take a chunk over, chosen likewise.
+# Delay between the turns of the agents that may take a chunk over. It covers
+# the transfer of a chunk and the news of it, too.
 _TAKEOVER_DELAY_S = 0.2
 _POLL_S = 0.03
 
@@ -67,7 +68,7 @@
         }
 
     async def run(self) -> None:
-        """Reads until each chunk is held here or known to be held."""
+        """Reads overdue chunks until every chunk is held here."""
         began_at = now_s()
         while not self._version.is_complete:
             index = next(self._due(now_s() - began_at), None)
--- a/damaskcroft/weights/_path_delay.py
+++ b/damaskcroft/weights/_path_delay.py
@@ -2,8 +2,8 @@
 
 One-way delays, after "Low Extra Delay Background Transport" (LEDBAT, RFC 6817):
 the sender stamps each message with its own clock, and the receiver compares the
-difference to its own clock with the least recent difference. Clocks need not
-agree, because their offset is the same in every difference.
+difference to its own clock with the smallest difference of recent messages.
+Clocks need not agree, because their offset is the same in every difference.
 """
 
 from damaskcroft.clock import now_s
--- a/damaskcroft/weights/_upload_rate.py
+++ b/damaskcroft/weights/_upload_rate.py
@@ -13,7 +13,7 @@
 # Queueing delay that is aimed at: two parts of 18 ms. The pauses and delays
 # that callers notice are tenths of a second.
 _TARGET_QUEUEING_DELAY_S = 0.04
-# Reports of this age are compared: a few parts from each receiver.
+# Reports up to this age are compared: a few parts from each receiver.
 _REPORT_LIFETIME_S = 0.15
 # Minimum time between two decreases of the rate, because a decrease takes
 # effect only after the present queue has drained.
--- a/damaskcroft/weights/_window.py
+++ b/damaskcroft/weights/_window.py
@@ -26,9 +26,9 @@
 # up, and links stay narrow for some seconds.
 _SAMPLE_LIFETIME_S = 6.0
 _MIN_SAMPLES = 4
-# Transfer times of this age describe the present state of the link. On a fast
-# link a part arrives within the second of these times: it takes 18 ms on a link
-# of 3.65 Mbit/s, behind a few others.
+# Transfer times up to this age describe the present state of the link. On a
+# fast link the shortest of them is below `_FAST_PART_S`: a part takes 18 ms on
+# a link of 3.65 Mbit/s, behind a few others.
 _RECENT_S = 1.0
 _FAST_PART_S = 0.15
 _MIN_WINDOW_PARTS = 1.0
