--- a/damaskcroft/fleet/_announcements.py
+++ b/damaskcroft/fleet/_announcements.py
@@ -63,7 +63,7 @@
     if announcement.phase == fleet_pb2.TARGET_GONE:
         return announcement
     if not announcement.service:
-        return InvalidAnnouncement("unknown_service", "empty service name")
+        return InvalidAnnouncement("unknown_service", "no name")
     if not _is_connectable(announcement.address):
         return InvalidAnnouncement("bad_address", announcement.address)
     fault = _out_of_range_number(announcement)
