--- a/damaskcroft/agent/_fleet_agent.py
+++ b/damaskcroft/agent/_fleet_agent.py
@@ -109,7 +109,7 @@
         self.state = state
         if is_changed:
             self._log_state()
-        self._view.take([], [state])
+        self._view.merge([], [state])
         await self._announce_to_control()
 
     def _must_renew(self) -> bool:
--- a/damaskcroft/agent/_fleet_stager.py
+++ b/damaskcroft/agent/_fleet_stager.py
@@ -230,7 +230,7 @@
         self._must_restage = self.staged is not None
         self.staged = None
         # This wakes `run`.
-        self._view.desired_changed.give()
+        self._view.desired_changed.notify()
 
     def _report_chosen(self, chosen: ModelVersion | None) -> None:
         """Logs and exports a changed version to stage, including none."""
@@ -294,7 +294,7 @@
         fetch a version.
         """
         address = self._own.state.target_address
-        while any(s.address == address for s in self._view.book.words()):
+        while any(s.address == address for s in self._view.targets.snapshot()):
             if await self._is_target_up():
                 return
             await asyncio.sleep(_RETRY_S)
@@ -465,7 +465,9 @@
         origin is lost.
         """
         peers = self._own.peers()
-        addresses = {state.address for state in self._view.book.believed()}
+        addresses = {
+            state.address for state in self._view.targets.address_holders()
+        }
         return [p for p in peers if p.target_address in addresses] or peers
 
     def _plan(self, burst: Burst) -> None:
--- a/damaskcroft/agent/_fleet_switcher.py
+++ b/damaskcroft/agent/_fleet_switcher.py
@@ -85,7 +85,7 @@
         self._weights_s = weights_s
         # Given when the view has received an update of the target.
         self._target_updated = Signal()
-        view.listen(self._on_update)
+        view.add_listener(self._on_update)
 
     async def run(self) -> None:
         """Drops expired weights and loads staged ones, until cancelled."""
@@ -124,7 +124,9 @@
             staged = self._stager.staged
             await self._announce(fleet_pb2.AGENT_SERVING, report)
             if staged is None or report.busy or self._serves(report, staged):
-                await self._target_updated.next(self._poll_interval_s(report))
+                await self._target_updated.wait_next(
+                    self._poll_interval_s(report)
+                )
                 continue
             if not await self._stager.restage():
                 await asyncio.sleep(_POLL_S)
@@ -146,7 +148,7 @@
         """Triggers a poll of the target if the update concerns it."""
         address = self._own.state.target_address
         if any(state.address == address for state in update.targets):
-            self._target_updated.give()
+            self._target_updated.notify()
 
     async def leave(self) -> None:
         """Does in advance what would be due while this agent is restarted."""
@@ -249,7 +251,7 @@
 
     def _may_interrupt(self) -> bool:
         """Returns whether running requests may be resumed elsewhere."""
-        table = self._view.table
+        table = self._view.route_table
         services = table.services_by_name if table else {}
         service = services.get(self._own.state.service)
         return service is not None and service.interruptible
--- a/damaskcroft/agent/_target_limit.py
+++ b/damaskcroft/agent/_target_limit.py
@@ -22,7 +22,7 @@
         """Starts without a limit."""
         self._target = target
         registry = LimitRegistry()
-        self._limits = RateLimits(registry, "", frozenset, registry.take_all)
+        self._limits = RateLimits(registry, "", frozenset, registry.merge_all)
 
     def record_answer(
         self, header: LimitHeader, start: int, sent_at: float
--- a/damaskcroft/agent/_version_choice.py
+++ b/damaskcroft/agent/_version_choice.py
@@ -66,7 +66,7 @@
         recorded as in service, because that record outlives every target.
         Without a record it is the version that the other targets hold.
         """
-        table = self._view.table
+        table = self._view.route_table
         if table is None:
             return None
         service = table.services_by_name.get(self._own.state.service)
@@ -165,7 +165,7 @@
         """Returns the newest version that any target of the service holds."""
         versions = [
             held.version
-            for state in self._view.book.believed()
+            for state in self._view.targets.address_holders()
             if state.service == self._own.state.service
             for held in state.held
             if held.model == model
@@ -175,7 +175,9 @@
 
 def origin_of(view: FleetView) -> fleet_pb2.Service | None:
     """Returns the configured origin of weights; None without one."""
-    services = view.table.services_by_name.values() if view.table else ()
+    services = (
+        view.route_table.services_by_name.values() if view.route_table else ()
+    )
     return next((service for service in services if service.origin), None)
 
 
--- a/damaskcroft/agent/_weights_guard.py
+++ b/damaskcroft/agent/_weights_guard.py
@@ -49,7 +49,7 @@
         One version for each model; none if the targets load models in one
         piece, because no part of it can be dropped.
     """
-    table = view.table
+    table = view.route_table
     known = table.services_by_name.get(service) if table else None
     if known is None or known.engine.layers < 2 or not weights_s:
         return []
--- a/damaskcroft/agent/tests/test_fleet_agent.py
+++ b/damaskcroft/agent/tests/test_fleet_agent.py
@@ -28,12 +28,12 @@
             started=own.state.started + 3_600_000,
         )  # fmt: skip
         await own.announce(fleet_pb2.AGENT_SERVING, [], None)
-        view.take([], [earlier])
+        view.merge([], [earlier])
         assert view.agents_by_address["a:1"].incarnation == "earlier"
         await own.announce(fleet_pb2.AGENT_SERVING, [], None)
         held = view.agents_by_address["a:1"]
         assert held.incarnation == own.state.incarnation
-        view.take([], [earlier])
+        view.merge([], [earlier])
         assert view.agents_by_address["a:1"] == held
 
     asyncio.run(scenario())
@@ -110,7 +110,7 @@
         async def announce_for(seconds, held):
             for _ in range(int(seconds / 0.2)):
                 await own.announce(fleet_pb2.AGENT_SERVING, [held], None)
-                observer.take([], [own.state])
+                observer.merge([], [own.state])
                 await asyncio.sleep(0.2)
 
         await announce_for(5, old)
--- a/damaskcroft/agent/tests/test_fleet_stager.py
+++ b/damaskcroft/agent/tests/test_fleet_stager.py
@@ -145,7 +145,7 @@
     other = fleet_pb2.TargetState(
         id="t", service="s", address="y:1", sequence=1, held=[held]
     )
-    view.take([other])
+    view.merge([other])
     assert stager.version_to_stage() == ModelVersion("m", 2)
 
 
@@ -157,7 +157,7 @@
     other = fleet_pb2.TargetState(
         id="t", service="s", address="y:1", sequence=1, held=[held]
     )
-    view.take([other])
+    view.merge([other])
     served = fleet_pb2.ServedVersion(model="m", version=2)
 
     async def take():
@@ -216,7 +216,7 @@
     known = fleet_pb2.TargetState(
         id="t", service="s", address="t:1", sequence=1
     )
-    view.take([known])
+    view.merge([known])
     target.pieces = dict(enumerate(CHUNKS))
     target.reachable = False
     announce_version(loop, view)
@@ -337,7 +337,7 @@
     stager._own.peers = lambda: agents
     assert stager._live_peers() == agents
     for number in range(3):
-        view.take(
+        view.merge(
             [
                 fleet_pb2.TargetState(
                     id=f"i{number}", service="s", address=f"t:{number}",
@@ -348,7 +348,7 @@
     gone = fleet_pb2.TargetState(
         id="i1", phase=fleet_pb2.TARGET_GONE, born_ms=5
     )
-    view.take([gone])
+    view.merge([gone])
     assert stager._live_peers() == [agents[0], agents[2]]
 
 
--- a/damaskcroft/agent/tests/test_fleet_switcher.py
+++ b/damaskcroft/agent/tests/test_fleet_switcher.py
@@ -193,7 +193,7 @@
         restarted = fleet_pb2.TargetState(
             id="i", service="s", address="10.0.0.1:1", sequence=1, born_ms=5
         )
-        view.take([restarted])
+        view.merge([restarted])
         await asyncio.sleep(0.005)
         polled_s_ago = loop.time() - engine.polled_at[-1]
         await cancelled(task)
@@ -213,7 +213,7 @@
 
 def test_empty_target_switches_without_waiting(loop, view):
     out = agent("a", fleet_pb2.AGENT_SWITCHING)
-    view.take([], [out])
+    view.merge([], [out])
     engine = FakeEngine()
     run_for(loop, view, engine, 1.0)
     assert engine.orders == [("m", 2)]
@@ -229,32 +229,32 @@
         view.apply_update(fleet_pb2.FleetUpdate(served=[served]))
 
     loop.run(record())
-    view.take([], [agent("a", fleet_pb2.AGENT_SWITCHING)])
+    view.merge([], [agent("a", fleet_pb2.AGENT_SWITCHING)])
     engine = FakeEngine(OLD)
     run_for(loop, view, engine, 60.0)
     assert engine.orders == []
 
 
 def test_target_waits_while_enough_others_are_out(loop, view):
-    view.take([], [agent("a", fleet_pb2.AGENT_SWITCHING)])
+    view.merge([], [agent("a", fleet_pb2.AGENT_SWITCHING)])
     engine = FakeEngine(OLD)
     run_for(loop, view, engine, 2.0)
     assert engine.orders == []
 
 
 def test_address_order_decides_between_two_ready_targets(loop, view):
-    view.take([], [agent("a")])
+    view.merge([], [agent("a")])
     engine = FakeEngine(OLD)
     run_for(loop, view, engine, 2.0)
     assert engine.orders == []
     first = FakeEngine(OLD)
-    view.take([], [agent("b")])
+    view.merge([], [agent("b")])
     run_for(loop, view, first, 2.0, address="a")
     assert first.orders == [("m", 2)]
 
 
 def test_target_switches_without_waiting_near_the_deadline(loop, view):
-    view.take([], [agent("a", fleet_pb2.AGENT_SWITCHING)])
+    view.merge([], [agent("a", fleet_pb2.AGENT_SWITCHING)])
     engine = FakeEngine(OLD)
     run_for(loop, view, engine, WEIGHTS_S - 0.5)
     assert engine.orders == [("m", 2)]
@@ -336,7 +336,7 @@
 
 def test_staged_version_is_loaded_without_a_separate_drop(loop, view):
     engine = FakeEngine(OLD)
-    view.take([], [agent("a", fleet_pb2.AGENT_SWITCHING)])
+    view.merge([], [agent("a", fleet_pb2.AGENT_SWITCHING)])
     run_for(loop, view, engine, WEIGHTS_S + 1.0)
     assert engine.orders == [("m", 2)]
 
--- a/damaskcroft/agent/tests/test_guard_in_time.py
+++ b/damaskcroft/agent/tests/test_guard_in_time.py
@@ -120,7 +120,7 @@
             return True
 
     view = make_view("m")
-    view.take([], [agent("a", fleet_pb2.AGENT_SWITCHING)])
+    view.merge([], [agent("a", fleet_pb2.AGENT_SWITCHING)])
     stager = SlowToRead()
     loop.call_later(start_s, setattr, stager, "staged", ModelVersion("m", 2))
     own = FakeOwn(view, "b")
--- a/damaskcroft/agent/tests/test_guard_price.py
+++ b/damaskcroft/agent/tests/test_guard_price.py
@@ -33,7 +33,7 @@
             address="agent-a:1", target_address="a:1", sequence=sequence,
             incarnation="1", held=[OLD], guarded=guarded,
         )  # fmt: skip
-        view.take([target], [state])
+        view.merge([target], [state])
 
 
 def test_stopping_agent_loads_a_staged_version(loop):
@@ -86,7 +86,7 @@
     update goes by the second version's time.
     """
     view = make_view("m")
-    view.take([], [agent("a", fleet_pb2.AGENT_SWITCHING)])
+    view.merge([], [agent("a", fleet_pb2.AGENT_SWITCHING)])
     engine = FakeEngine(OLD)
     stager = FakeStager()
     stager.staged = ModelVersion("m", 3)
--- a/damaskcroft/consensus/_applier.py
+++ b/damaskcroft/consensus/_applier.py
@@ -87,7 +87,7 @@
             self._commit_advanced.clear()
             while self.applied_index < self.commit_index:
                 self._apply_next()
-            self.changed.give()
+            self.changed.notify()
             try:
                 self._compact_if_large()
             except OSError as error:
--- a/damaskcroft/consensus/_leadership_transfer.py
+++ b/damaskcroft/consensus/_leadership_transfer.py
@@ -103,7 +103,7 @@
     async def wait_until_finished(self) -> None:
         """Waits until no transfer is in progress."""
         while self.is_in_progress:
-            await self._finished.next()
+            await self._finished.wait_next()
 
     async def run(self, within_s: float) -> bool:
         """Transfers the leadership; a concurrent call waits for the first.
@@ -134,7 +134,7 @@
             await self._transfer_to_any_voter()
         finally:
             self.is_in_progress = False
-            self._finished.give()
+            self._finished.notify()
 
     async def _transfer_to_any_voter(self) -> None:
         attempted_ids: set[str] = set()
@@ -144,13 +144,13 @@
                 return
             voter = self._select_successor(responsive)
             if voter is None:
-                await self._changed.next()
+                await self._changed.wait_next()
                 continue
             attempted_ids.add(voter.id)
             if await self._send_timeout_now(voter):
                 await self._wait_until_stepped_down(voter)
         while not self._is_another_leader():
-            await self._changed.next()
+            await self._changed.wait_next()
 
     def _is_another_leader(self) -> bool:
         return self._leadership.leader_id not in ("", self._id)
@@ -211,7 +211,7 @@
         try:
             async with asyncio.timeout(self._attempt_timeout_s):
                 while self._leadership.is_leader:
-                    await self._changed.next()
+                    await self._changed.wait_next()
         except TimeoutError:
             log_event("handover_not_taken", to=voter.id)
 
--- a/damaskcroft/consensus/_replica.py
+++ b/damaskcroft/consensus/_replica.py
@@ -259,7 +259,7 @@
                 while self.is_leader and not self._is_confirmed_since(
                     requested_at
                 ):
-                    await self._changed.next()
+                    await self._changed.wait_next()
         except TimeoutError:
             return False
         return self.is_leader
@@ -553,7 +553,7 @@
         was_leader = self.is_leader
         self.leader_id = leader_id
         self.follow()
-        self._changed.give()
+        self._changed.notify()
         if not was_leader:
             return
         for task in self._leader_tasks:
@@ -733,7 +733,7 @@
             await self._advance_commit()
         else:
             peer.next_index = reply.match_index + 1
-        self._changed.give()
+        self._changed.notify()
 
     async def _advance_commit(self) -> None:
         if not self.is_leader:
--- a/damaskcroft/control/_fleet_control.py
+++ b/damaskcroft/control/_fleet_control.py
@@ -84,13 +84,15 @@
         self._state = state
         self._view = view
         self._channels = channels
-        state.listen(self._update_service_names)
+        state.add_listener(self._update_service_names)
 
     def _update_service_names(self) -> None:
         """Restricts the view to targets of configured services."""
         configuration = self._state.configuration
         if configuration is not None:
-            self._view.name_services(s.name for s in configuration.services)
+            self._view.set_configured_services(
+                s.name for s in configuration.services
+            )
 
     # --- Operators -----------------------------------------------------------
 
@@ -200,7 +202,7 @@
             record_invalid_announcement("announcement", target_id, state)
             return state
         if state.phase == fleet_pb2.TARGET_READY:
-            self._view.take([state])
+            self._view.merge([state])
             return True
         is_majority_informed = await self._relay_to_majority(state)
         log_event(
@@ -226,11 +228,11 @@
             record_invalid_announcement("leave", target_id, start)
             return start
         if not start.born_ms:
-            start.born_ms = self._view.book.newest_born_ms(target_id)
+            start.born_ms = self._view.targets.newest_born_ms(target_id)
         return await self.announce(target_id, start)
 
     async def _relay_to_majority(self, state: fleet_pb2.TargetState) -> bool:
-        self._view.take([state])
+        self._view.merge([state])
         members = self._replica.member_addresses()
         others = [a for a in members if a != self._replica.address]
         request = fleet_pb2.RelayRequest(targets=[state])
--- a/damaskcroft/control/_fleet_service.py
+++ b/damaskcroft/control/_fleet_service.py
@@ -94,8 +94,8 @@
         """Moves all pending changes into an update."""
         update.targets.extend(self.targets_by_key.values())
         update.agents.extend(self.agents_by_address.values())
-        update.crashes.extend(view.crashes.words_of(self.crashed_starts))
-        update.limits.extend(view.limits.words_of(self.limited_starts))
+        update.crashes.extend(view.crashes.snapshot_of(self.crashed_starts))
+        update.limits.extend(view.limits.snapshot_of(self.limited_starts))
         self.crashed_starts.clear()
         self.limited_starts.clear()
         self.targets_by_key.clear()
@@ -176,8 +176,8 @@
         # Newest renewals without changes, collected into one update.
         self._renewals_by_address: dict[str, fleet_pb2.AgentState] = {}
         self._started_at = now_s()
-        view.listen(self._broadcast, on_renewal=self._buffer_renewals)
-        state.listen(self._wake_watchers)
+        view.add_listener(self._broadcast, on_renewal=self._buffer_renewals)
+        state.add_listener(self._wake_watchers)
 
     def _wake_watchers(self) -> None:
         """Wakes all watchers after a change of the replicated state."""
@@ -196,7 +196,7 @@
         log_event("watcher_joined", name=request.name)
         try:
             agents = [request.agent] if is_agent else []
-            self._view.take([], agents, request.crashes, request.limits)
+            self._view.merge([], agents, request.crashes, request.limits)
             await self._push_updates(stream, watcher)
         finally:
             self._watchers.discard(watcher)
@@ -277,12 +277,12 @@
         return desired
 
     def _full_update(self) -> fleet_pb2.FleetUpdate:
-        ended = list(self._view.book.ended())[-_MAX_ENDED_TARGETS_SENT:]
+        ended = list(self._view.targets.ended())[-_MAX_ENDED_TARGETS_SENT:]
         return fleet_pb2.FleetUpdate(
-            targets=[*self._view.book.words(), *ended],
+            targets=[*self._view.targets.snapshot(), *ended],
             agents=self._view.agents_by_address.values(),
-            crashes=self._view.crashes.words(),
-            limits=self._view.limits.words(),
+            crashes=self._view.crashes.snapshot(),
+            limits=self._view.limits.snapshot(),
         )
 
     def _buffer_renewals(self, update: fleet_pb2.FleetUpdate) -> None:
@@ -335,7 +335,7 @@
     async def Relay(self, stream: Any) -> None:  # noqa: N802
         """Merges what another control node or an entry has learned."""
         request = await stream.recv_message()
-        self._view.take(
+        self._view.merge(
             request.targets, request.agents, request.crashes, request.limits
         )
         await stream.send_message(fleet_pb2.RelayReply())
--- a/damaskcroft/control/_fleet_state.py
+++ b/damaskcroft/control/_fleet_state.py
@@ -43,7 +43,7 @@
         self.served_by_model: dict[str, int] = {}
         self.version_times = DesiredVersionTimes()
 
-    def listen(self, listener: Callable[[], None]) -> None:
+    def add_listener(self, listener: Callable[[], None]) -> None:
         """Registers `listener`, which is called after each change."""
         self._listeners.append(listener)
 
--- a/damaskcroft/control/tests/test_fleet_control.py
+++ b/damaskcroft/control/tests/test_fleet_control.py
@@ -262,11 +262,11 @@
                 service="s", address="10.0.0.1:1", born_ms=1000,
             )  # fmt: skip
             assert await nodes[0].control.announce("t", leaving) is True
-            await wait_until(lambda: "t" in view.book.targets_by_id)
+            await wait_until(lambda: "t" in view.targets.targets_by_id)
             # The last announcement does not state which start it ends.
             ended = fleet_pb2.TargetState(id="t", phase=fleet_pb2.TARGET_GONE)
             assert await nodes[1].control.leave("t", ended) is True
-            await wait_until(lambda: "t" not in view.book.targets_by_id)
+            await wait_until(lambda: "t" not in view.targets.targets_by_id)
             await retry_while_unavailable(
                 nodes[0].control.name_weights,
                 fleet_pb2.WeightGoal(model="m", version=2),
--- a/damaskcroft/control/tests/test_fleet_service.py
+++ b/damaskcroft/control/tests/test_fleet_service.py
@@ -284,11 +284,11 @@
         watcher = CountingStream(FleetView())
         node.watch(watcher)
         for number in range(55):
-            node.view.take([], [agent_state(number, 1)])
+            node.view.merge([], [agent_state(number, 1)])
         await asyncio.sleep(1.0)
         before = watcher.sent
         for number in range(55):
-            node.view.take([], [agent_state(number, 2)])
+            node.view.merge([], [agent_state(number, 2)])
             await asyncio.sleep(1.0 / 55)
         await asyncio.sleep(0.3)
         assert watcher.sent - before <= 8
@@ -302,11 +302,11 @@
     async def scenario(node):
         watcher = CountingStream(FleetView())
         node.watch(watcher)
-        node.view.take([], [agent_state(1, 1)])
+        node.view.merge([], [agent_state(1, 1)])
         await asyncio.sleep(0.3)
-        node.view.take([], [agent_state(1, 2)])
+        node.view.merge([], [agent_state(1, 2)])
         switching = agent_state(1, 3, phase=fleet_pb2.AGENT_SWITCHING)
-        node.view.take([], [switching])
+        node.view.merge([], [switching])
         await asyncio.sleep(0.01)
         known = watcher.view.agents_by_address["10.0.0.1:1"]
         assert known.phase == fleet_pb2.AGENT_SWITCHING
@@ -325,7 +325,9 @@
         for sequence in range(1, 4):
             for number in range(41):
                 held = fleet_pb2.HeldLayers(model="m", version=sequence)
-                node.view.take([], [agent_state(number, sequence, held=[held])])
+                node.view.merge(
+                    [], [agent_state(number, sequence, held=[held])]
+                )
                 await asyncio.sleep(1.0 / 123)
         await asyncio.sleep(0.06)
         assert watcher.sent - before <= 25
@@ -346,11 +348,11 @@
         node.watch(watcher)
         await asyncio.sleep(0.3)
         for number in range(9):
-            node.view.take([], [agent_state(number, 1)])
+            node.view.merge([], [agent_state(number, 1)])
             await asyncio.sleep(0.006)
-            node.view.take([], [agent_state(number, 2)])
+            node.view.merge([], [agent_state(number, 2)])
             switching = agent_state(number, 3, phase=fleet_pb2.AGENT_SWITCHING)
-            node.view.take([], [switching])
+            node.view.merge([], [switching])
             await asyncio.sleep(0.01)
             known = watcher.view.agents_by_address[switching.address]
             assert known.phase == fleet_pb2.AGENT_SWITCHING
@@ -419,7 +421,7 @@
                 start_id="t@1",
                 suspects=[quarantine_pb2.Suspect(fingerprint=name, chain=1)],
             )
-            node.view.take([], crashes=[report])
+            node.view.merge([], crashes=[report])
             await asyncio.sleep(0.002)
         await asyncio.sleep(0.2)
         watching.cancel()
@@ -449,7 +451,7 @@
         watching = node.watch(WatchStream(view, "a"))
         await asyncio.sleep(0.01)
         limit = limits_pb2.NamedLimit(start_id="t@1", rate_s=2, revision=1)
-        node.view.take([], limits=[limit])
+        node.view.merge([], limits=[limit])
         await asyncio.sleep(0.1)
         assert view.limits.rate_s("t@1") == 2
         joining = node.watch(WatchStream(later, "b"))
--- a/damaskcroft/control/tests/test_service_recorder.py
+++ b/damaskcroft/control/tests/test_service_recorder.py
@@ -77,7 +77,7 @@
 
     def announce_targets(self, *versions, first=0):
         """Announces targets that hold these versions; 0 for an empty target."""
-        self.view.take(
+        self.view.merge(
             [
                 target(f"t{number}", version)
                 for number, version in enumerate(versions, first)
@@ -122,7 +122,7 @@
     rig.pass_time(RECORD_WITHIN_S)
     rig.announce_targets(0, 0, first=2)
     for number in range(2):
-        rig.view.take([fleet_pb2.TargetState(
+        rig.view.merge([fleet_pb2.TargetState(
             id=f"t{number}", phase=fleet_pb2.TARGET_GONE)])  # fmt: skip
     rig.pass_time(60)
     assert rig.recorded == 1
--- a/damaskcroft/entry/_suspects.py
+++ b/damaskcroft/entry/_suspects.py
@@ -129,7 +129,7 @@
             chain=self._chain,
             answered=self._suspects.recent_answers.has(self.fingerprint),
         )
-        self._suspects.crash_registry.take(
+        self._suspects.crash_registry.merge(
             quarantine_pb2.TargetCrash(
                 start_id=failed.target_start, suspects=[suspect]
             )
--- a/damaskcroft/entry/tests/fakes.py
+++ b/damaskcroft/entry/tests/fakes.py
@@ -199,8 +199,8 @@
     def renew_now(self):
         """Copies the crashes known here to every other entry."""
         for other in self.peers:
-            for crash in self.roster.crashes.words():
-                other.roster.crashes.take(crash)
+            for crash in self.roster.crashes.snapshot():
+                other.roster.crashes.merge(crash)
 
 
 class FreezableClaimClient(ClaimClient):
--- a/damaskcroft/fleet/_held.py
+++ b/damaskcroft/fleet/_held.py
@@ -26,7 +26,7 @@
     agents = {
         agent.target_address: agent for agent in view.agents_by_address.values()
     }
-    for state in view.book.believed():
+    for state in view.targets.address_holders():
         agent = agents.get(state.address)
         if agent is not None and _is_of_earlier_start(agent, state):
             del agents[state.address]
@@ -103,7 +103,7 @@
     agent_by_target = agents_by_target_address(view)
     holders = 0
     holders_by_version: collections.Counter[int] = collections.Counter()
-    for state in view.book.believed():
+    for state in view.targets.address_holders():
         layers = layers_by_service.get(state.service)
         if layers is None:
             continue
--- a/damaskcroft/fleet/_reporter.py
+++ b/damaskcroft/fleet/_reporter.py
@@ -43,14 +43,14 @@
     ) -> None:
         """Records crashes locally and schedules their report to control."""
         crashes = list(crashes)
-        self._view.take([], crashes=crashes)
+        self._view.merge([], crashes=crashes)
         self._unreported_crashes.update(crash.start_id for crash in crashes)
         self._wake.set()
 
     def report_limits(self, limits: Iterable[limits_pb2.NamedLimit]) -> None:
         """Records rate limits locally and schedules their report to control."""
         limits = list(limits)
-        self._view.take([], limits=limits)
+        self._view.merge([], limits=limits)
         self._unreported_limits.update(limit.start_id for limit in limits)
         self._wake.set()
 
@@ -76,8 +76,8 @@
             Whether any control node accepted it.
         """
         request = fleet_pb2.RelayRequest(
-            crashes=self._view.crashes.words_of(crashes),
-            limits=self._view.limits.words_of(limits),
+            crashes=self._view.crashes.snapshot_of(crashes),
+            limits=self._view.limits.snapshot_of(limits),
         )
         addresses = self._view.control_addresses or self._seeds
         accepted = await asyncio.gather(
--- a/damaskcroft/fleet/_targets.py
+++ b/damaskcroft/fleet/_targets.py
@@ -106,7 +106,7 @@
         announcement = self._newest().get(target_id)
         return announcement.state if announcement is not None else None
 
-    def take(self, state: fleet_pb2.TargetState) -> bool:
+    def merge(self, state: fleet_pb2.TargetState) -> bool:
         """Merges one announcement.
 
         Returns:
@@ -124,7 +124,7 @@
         self._store(state, known)
         return known is None or not _equal_except_sequence(state, known.state)
 
-    def name_services(self, names: Collection[str]) -> bool:
+    def set_configured_services(self, names: Collection[str]) -> bool:
         """Sets the configured services; only their announcements are in effect.
 
         Returns:
@@ -138,7 +138,7 @@
         self._invalidate_caches()
         return self.targets_by_id != before
 
-    def believed(self) -> list[fleet_pb2.TargetState]:
+    def address_holders(self) -> list[fleet_pb2.TargetState]:
         """Targets that hold their address, in the order of first announcement.
 
         If two ids announce one address, the target born later holds it, or the
@@ -161,7 +161,7 @@
         )
         return tuple(announcement.state for announcement in holders)
 
-    def doubt(self, target_id: str) -> None:
+    def demote(self, target_id: str) -> None:
         """Demotes an id: other ids at its address take precedence.
 
         To be called when another target answers at the address, which means
@@ -207,7 +207,7 @@
         """The ids of the known starts of all targets; see `start_id`."""
         return {start_id(state) for state in self.targets_by_id.values()}
 
-    def words(self) -> Iterator[fleet_pb2.TargetState]:
+    def snapshot(self) -> Iterator[fleet_pb2.TargetState]:
         """All announcements kept, including those of unconfigured services."""
         for announcement in self._latest_by_key.values():
             yield announcement.state
--- a/damaskcroft/fleet/_view.py
+++ b/damaskcroft/fleet/_view.py
@@ -51,8 +51,8 @@
     Attributes:
         configuration: the newest applied configuration; None after a fresh
             start.
-        table: lookup table of its routes and keys, or None.
-        book: registry of announced targets.
+        route_table: lookup table of its routes and keys, or None.
+        targets: registry of announced targets.
         desired_version_by_model: desired version of the weights of each model.
         accepted_at_by_model: by model and version, the loop time at which
             control accepted it as desired; minus infinity if no control node
@@ -81,8 +81,8 @@
         self._logs_target = logs_target
         self.configuration: fleet_pb2.Configuration | None = None
         self._configured_at = -math.inf
-        self.table: RouteTable | None = None
-        self.book = TargetRegistry()
+        self.route_table: RouteTable | None = None
+        self.targets = TargetRegistry()
         self.desired_version_by_model: dict[str, fleet_pb2.WeightGoal] = {}
         self.accepted_at_by_model: dict[str, dict[int, float]] = {}
         self.served_by_model: dict[str, int] = {}
@@ -131,13 +131,15 @@
         self.configuration = configuration
         # Used in logs only, so it needs no event loop.
         self._configured_at = time.monotonic()
-        self.table = RouteTable(configuration)
-        self.name_services(service.name for service in configuration.services)
-        self.desired_changed.give()
+        self.route_table = RouteTable(configuration)
+        self.set_configured_services(
+            service.name for service in configuration.services
+        )
+        self.desired_changed.notify()
 
-    def name_services(self, names: Iterable[str]) -> None:
+    def set_configured_services(self, names: Iterable[str]) -> None:
         """Sets the configured services; other targets are not in effect."""
-        if self.book.name_services(frozenset(names)):
+        if self.targets.set_configured_services(frozenset(names)):
             self.changes += 1
 
     def version_desired_for(self, model: str, after_s: float) -> int:
@@ -212,7 +214,7 @@
         )
         return max((desired.version for desired in desired_versions), default=0)
 
-    def listen(
+    def add_listener(
         self, listener: Listener, on_renewal: Listener | None = None
     ) -> None:
         """Registers a listener for changes of targets or agents.
@@ -242,13 +244,13 @@
             self._merge_desired_version(desired)
         for served in update.served:
             self._merge_served(served)
-        self.take(update.targets, update.agents, update.crashes, update.limits)
+        self.merge(update.targets, update.agents, update.crashes, update.limits)
         if update.control_addresses:
             self.control_addresses = tuple(update.control_addresses)
         if update.entries:
             self._merge_entry_count(update.entries)
 
-    def take(
+    def merge(
         self,
         targets: Iterable[fleet_pb2.TargetState],
         agents: Iterable[fleet_pb2.AgentState] = (),
@@ -258,8 +260,8 @@
         """Merges announcements, crashes and rate limits, in any order."""
         changed = fleet_pb2.FleetUpdate(
             targets=[state for state in targets if self._merge_target(state)],
-            crashes=self.crashes.take_all(crashes),
-            limits=self.limits.take_all(limits),
+            crashes=self.crashes.merge_all(crashes),
+            limits=self.limits.merge_all(limits),
         )
         has_changes = bool(changed.targets or changed.crashes or changed.limits)
         for agent in agents:
@@ -280,11 +282,11 @@
     def demote_target(self, target_id: str) -> None:
         """Records that another target answers at a target's address."""
         log_event("target_doubted", id=target_id)
-        self.book.doubt(target_id)
+        self.targets.demote(target_id)
         self.changes += 1
 
     def _merge_target(self, state: fleet_pb2.TargetState) -> bool:
-        if not self.book.take(state):
+        if not self.targets.merge(state):
             return False
         if self._logs_target(state):
             log_event(
@@ -328,7 +330,7 @@
         if known is not None and known.version >= desired.version:
             return
         self.desired_version_by_model[desired.model] = desired
-        self.desired_changed.give()
+        self.desired_changed.notify()
         log_event("weights_named", model=desired.model, version=desired.version)
 
     def _merge_served(self, served: fleet_pb2.ServedVersion) -> None:
@@ -336,7 +338,7 @@
         if served.model in self.served_by_model:
             return
         self.served_by_model[served.model] = served.version
-        self.desired_changed.give()
+        self.desired_changed.notify()
         log_event(
             "weights_in_service", model=served.model, version=served.version
         )
@@ -361,7 +363,7 @@
         )
         since_by_version[desired.version] = since
         if abs(since - known) > _AGE_JITTER_S:
-            self.desired_changed.give()
+            self.desired_changed.notify()
 
 
 def _is_renewal(
--- a/damaskcroft/fleet/tests/test_fuzz_restarts.py
+++ b/damaskcroft/fleet/tests/test_fuzz_restarts.py
@@ -97,20 +97,20 @@
     @rule(announcement=announcements, node=st.integers(0, NODES - 1))
     def receive(self, announcement, node):
         """An announcement stays in the bundle: it may arrive late and twice."""
-        self.registries[node].take(announcement)
+        self.registries[node].merge(announcement)
         self.received[node].append(announcement)
 
     @rule(sender=st.integers(0, NODES - 1), receiver=st.integers(0, NODES - 1))
     def synchronize(self, sender, receiver):
         """A partition heals: one node sends another all that it knows."""
         registry = self.registries[sender]
-        for announcement in [*registry.words(), *registry.ended()]:
-            self.registries[receiver].take(announcement)
+        for announcement in [*registry.snapshot(), *registry.ended()]:
+            self.registries[receiver].merge(announcement)
         self.received[receiver] += self.received[sender]
 
     @rule(node=st.integers(0, NODES - 1))
     def configure(self, node):
-        self.registries[node].name_services({KNOWN_SERVICE})
+        self.registries[node].set_configured_services({KNOWN_SERVICE})
 
     def expected(self, node):
         """The newest announcement of each start that has not ended, by id."""
@@ -152,9 +152,9 @@
                 by_address.setdefault(announcement.address, []).append(
                     announcement.born_ms
                 )
-            assert {s.address: s.born_ms for s in registry.believed()} == {
-                address: max(born) for address, born in by_address.items()
-            }
+            assert {
+                s.address: s.born_ms for s in registry.address_holders()
+            } == {address: max(born) for address, born in by_address.items()}
 
 
 def position(announcement):
@@ -164,7 +164,7 @@
 def positions_of_known(registry):
     return {
         announcement.id: position(announcement)
-        for announcement in registry.words()
+        for announcement in registry.snapshot()
         if announcement.service == KNOWN_SERVICE
     }
 
--- a/damaskcroft/fleet/tests/test_fuzz_targets.py
+++ b/damaskcroft/fleet/tests/test_fuzz_targets.py
@@ -93,7 +93,7 @@
         before = {
             s.id: s.sequence for s in self.registry.targets_by_id.values()
         }
-        self.registry.take(announcement)
+        self.registry.merge(announcement)
         for state in self.registry.targets_by_id.values():
             assert state.sequence >= before.get(state.id, 0)
 
@@ -112,7 +112,7 @@
 
     @invariant()
     def an_address_is_held_by_the_target_first_received_last(self):
-        believed = self.registry.believed()
+        believed = self.registry.address_holders()
         addresses = [state.address for state in believed]
         assert len(set(addresses)) == len(addresses)
         for state in believed:
--- a/damaskcroft/fleet/tests/test_held.py
+++ b/damaskcroft/fleet/tests/test_held.py
@@ -38,7 +38,7 @@
 
 def in_service(targets, agents=()):
     view = FleetView()
-    view.take(targets, agents)
+    view.merge(targets, agents)
     return version_in_service(view, SERVICES, "m")
 
 
--- a/damaskcroft/fleet/tests/test_restarted_targets.py
+++ b/damaskcroft/fleet/tests/test_restarted_targets.py
@@ -33,65 +33,65 @@
 
 
 def holders(registry):
-    return [(state.id, state.born_ms) for state in registry.believed()]
+    return [(state.id, state.born_ms) for state in registry.address_holders()]
 
 
 def test_a_later_start_replaces_an_earlier_one(registry):
-    registry.take(announcement(50, born_ms=1000))
-    assert registry.take(announcement(1, born_ms=2000, slots=3))
+    registry.merge(announcement(50, born_ms=1000))
+    assert registry.merge(announcement(1, born_ms=2000, slots=3))
     assert registry.targets_by_id["a"].slots == 3
 
 
 def test_a_late_announcement_of_an_earlier_start_has_no_effect(registry):
-    registry.take(announcement(1, born_ms=2000))
-    assert not registry.take(announcement(50, born_ms=1000, phase=DRAINING))
-    registry.take(gone(born_ms=1000))
+    registry.merge(announcement(1, born_ms=2000))
+    assert not registry.merge(announcement(50, born_ms=1000, phase=DRAINING))
+    registry.merge(gone(born_ms=1000))
     assert holders(registry) == [("a", 2000)]
 
 
 def test_a_leave_ends_its_start_and_not_the_id(registry):
-    registry.take(announcement(50, born_ms=1000))
-    assert registry.take(gone(born_ms=1000))
-    assert not registry.take(announcement(51, born_ms=1000))
-    assert registry.take(announcement(1, born_ms=2000))
-    assert not registry.take(announcement(52, born_ms=1000))
-    assert not registry.take(gone(born_ms=1000))
+    registry.merge(announcement(50, born_ms=1000))
+    assert registry.merge(gone(born_ms=1000))
+    assert not registry.merge(announcement(51, born_ms=1000))
+    assert registry.merge(announcement(1, born_ms=2000))
+    assert not registry.merge(announcement(52, born_ms=1000))
+    assert not registry.merge(gone(born_ms=1000))
     assert holders(registry) == [("a", 2000)]
 
 
 def test_a_leave_received_before_its_start_ends_it(registry):
-    assert registry.take(gone(born_ms=1000))
-    assert not registry.take(announcement(3, born_ms=1000))
-    assert registry.take(announcement(1, born_ms=1001))
+    assert registry.merge(gone(born_ms=1000))
+    assert not registry.merge(announcement(3, born_ms=1000))
+    assert registry.merge(announcement(1, born_ms=1001))
 
 
 def test_ends_are_published(registry):
-    registry.take(announcement(5, born_ms=1000))
-    registry.take(gone(born_ms=1000))
-    registry.take(announcement(1, born_ms=2000))
+    registry.merge(announcement(5, born_ms=1000))
+    registry.merge(gone(born_ms=1000))
+    registry.merge(announcement(1, born_ms=2000))
     assert list(registry.ended()) == [gone(born_ms=1000)]
 
 
 def test_an_end_without_a_start_is_not_published_beside_a_later_start(registry):
-    registry.take(gone())
+    registry.merge(gone())
     assert list(registry.ended()) == [gone()]
-    registry.take(announcement(1, born_ms=2000))
+    registry.merge(announcement(1, born_ms=2000))
     assert list(registry.ended()) == []
 
 
 def test_without_a_start_the_sequence_number_orders(registry):
-    registry.take(announcement(2))
-    assert not registry.take(announcement(1, slots=4))
-    assert registry.take(announcement(3, slots=4))
-    registry.take(gone())
-    assert not registry.take(announcement(9))
+    registry.merge(announcement(2))
+    assert not registry.merge(announcement(1, slots=4))
+    assert registry.merge(announcement(3, slots=4))
+    registry.merge(gone())
+    assert not registry.merge(announcement(9))
     assert holders(registry) == []
 
 
 def test_announcements_with_a_start_take_precedence(registry):
-    registry.take(announcement(50))
-    assert registry.take(announcement(1, born_ms=1000))
-    assert not registry.take(announcement(51))
+    registry.merge(announcement(50))
+    assert registry.merge(announcement(1, born_ms=1000))
+    assert not registry.merge(announcement(51))
     assert holders(registry) == [("a", 1000)]
 
 
@@ -100,11 +100,11 @@
     registry, leaving
 ):
     """Control nodes of the previous release relay such announcements."""
-    registry.take(announcement(5, born_ms=1000))
-    assert registry.take(leaving)
+    registry.merge(announcement(5, born_ms=1000))
+    assert registry.merge(leaving)
     assert holders(registry) == []
-    assert not registry.take(announcement(5, born_ms=1000))
-    assert registry.take(announcement(6, born_ms=1000))
+    assert not registry.merge(announcement(5, born_ms=1000))
+    assert registry.merge(announcement(6, born_ms=1000))
     assert holders(registry) == [("a", 1000)]
 
 
@@ -116,35 +116,35 @@
     for each_announcement in (
         announcements if first == "stranger" else reversed(announcements)
     ):
-        registry.take(each_announcement)
-    registry.name_services({"s"})
+        registry.merge(each_announcement)
+    registry.set_configured_services({"s"})
     assert holders(registry) == [("a", 1000)]
-    assert registry.name_services({"s", "unknown"})
+    assert registry.set_configured_services({"s", "unknown"})
     assert holders(registry) == [("x", 3000)]
 
 
 def test_an_unknown_service_under_a_known_id_displaces_no_target(registry):
-    registry.name_services({"s"})
-    registry.take(announcement(7, 1000))
-    registry.take(announcement(10**9, 9000, service="unknown"))
+    registry.set_configured_services({"s"})
+    registry.merge(announcement(7, 1000))
+    registry.merge(announcement(10**9, 9000, service="unknown"))
     assert holders(registry) == [("a", 1000)]
-    assert registry.take(announcement(8, 1000, slots=2))
+    assert registry.merge(announcement(8, 1000, slots=2))
     assert registry.targets_by_id["a"].slots == 2
 
 
 def test_an_address_belongs_to_the_target_born_last(registry):
     """Guards against a crashed target whose late announcement arrives first."""
-    registry.take(announcement(1, 2000, target_id="new"))
-    registry.take(announcement(40, 1000, target_id="old"))
+    registry.merge(announcement(1, 2000, target_id="new"))
+    registry.merge(announcement(40, 1000, target_id="old"))
     assert holders(registry) == [("new", 2000)]
 
 
 def test_a_later_start_of_a_demoted_id_regains_its_address(registry):
-    registry.take(announcement(1, 2000, target_id="new"))
-    registry.take(announcement(1, 3000, target_id="old"))
-    registry.doubt("old")
+    registry.merge(announcement(1, 2000, target_id="new"))
+    registry.merge(announcement(1, 3000, target_id="old"))
+    registry.demote("old")
     assert holders(registry) == [("new", 2000)]
-    registry.take(announcement(1, 4000, target_id="old"))
+    registry.merge(announcement(1, 4000, target_id="old"))
     assert holders(registry) == [("old", 4000)]
 
 
@@ -152,14 +152,14 @@
     registry, monkeypatch
 ):
     monkeypatch.setattr("damaskcroft.fleet._targets._MAX_ANNOUNCEMENTS", 3)
-    registry.take(announcement(1, 1000))
+    registry.merge(announcement(1, 1000))
     for number in range(5):
-        registry.take(
+        registry.merge(
             announcement(
                 1, 1000, target_id=f"x{number}", address=f"1.1.1.1:{number}"
             )
         )
-        registry.take(announcement(2 + number, 1000))
+        registry.merge(announcement(2 + number, 1000))
     assert "a" in registry.targets_by_id
     assert len(registry.targets_by_id) == 3
 
@@ -171,12 +171,12 @@
             address="g:1", target_address="10.0.0.1:1", target_born_ms=1000,
             held=[fleet_pb2.HeldLayers(model="m", version=1)],
         )  # fmt: skip
-        view.take([announcement(1, born_ms=1000)], [agent])
+        view.merge([announcement(1, born_ms=1000)], [agent])
         assert "10.0.0.1:1" in agents_by_target_address(view)
-        view.take([announcement(1, born_ms=2000)])
+        view.merge([announcement(1, born_ms=2000)])
         assert agents_by_target_address(view) == {}
         agent.target_born_ms, agent.sequence = 2000, 1
-        view.take([], [agent])
+        view.merge([], [agent])
         assert "10.0.0.1:1" in agents_by_target_address(view)
 
     loop.run(scenario())
@@ -185,8 +185,8 @@
 def test_targets_take_effect_when_their_service_is_configured(loop):
     async def scenario():
         view = FleetView()
-        view.take([announcement(1)])
-        assert holders(view.book) == [("a", 0)]
+        view.merge([announcement(1)])
+        assert holders(view.targets) == [("a", 0)]
         for version, name in ((1, "other"), (2, "s")):
             seen = view.changes
             view.apply_configuration(
@@ -195,7 +195,7 @@
                 )
             )
             assert view.changes > seen
-        assert holders(view.book) == [("a", 0)]
+        assert holders(view.targets) == [("a", 0)]
 
     loop.run(scenario())
 
@@ -220,10 +220,10 @@
         )
         for _ in range(3):
             view.apply_update(old)
-        assert holders(view.book) == [("a", 2000)]
+        assert holders(view.targets) == [("a", 2000)]
         # A leaving announcement of the later start that it relays does count.
         leaving = announcement(60, phase=DRAINING)
         view.apply_update(fleet_pb2.FleetUpdate(targets=[leaving]))
-        assert holders(view.book) == []
+        assert holders(view.targets) == []
 
     loop.run(scenario())
--- a/damaskcroft/fleet/tests/test_targets.py
+++ b/damaskcroft/fleet/tests/test_targets.py
@@ -19,54 +19,54 @@
 
 def test_an_older_announcement_has_no_effect():
     registry = TargetRegistry()
-    assert registry.take(announcement("a", 5, phase=fleet_pb2.TARGET_DRAINING))
-    assert not registry.take(announcement("a", 4))
+    assert registry.merge(announcement("a", 5, phase=fleet_pb2.TARGET_DRAINING))
+    assert not registry.merge(announcement("a", 4))
     assert registry.targets_by_id["a"].phase == fleet_pb2.TARGET_DRAINING
 
 
 def test_a_new_sequence_number_alone_is_no_change():
     registry = TargetRegistry()
-    assert registry.take(announcement("a", 1))
-    assert not registry.take(announcement("a", 2))
-    assert registry.take(announcement("a", 3, slots=4))
+    assert registry.merge(announcement("a", 1))
+    assert not registry.merge(announcement("a", 2))
+    assert registry.merge(announcement("a", 3, slots=4))
 
 
 def test_a_late_announcement_does_not_revive_a_target_that_left():
     registry = TargetRegistry()
-    registry.take(announcement("a", 1))
-    assert registry.take(gone("a"))
-    assert not registry.take(announcement("a", 9))
-    assert registry.believed() == []
+    registry.merge(announcement("a", 1))
+    assert registry.merge(gone("a"))
+    assert not registry.merge(announcement("a", 9))
+    assert registry.address_holders() == []
 
 
 def test_a_leave_received_first_keeps_the_target_out():
     registry = TargetRegistry()
-    registry.take(gone("a"))
-    assert not registry.take(announcement("a", 9))
+    registry.merge(gone("a"))
+    assert not registry.merge(announcement("a", 9))
 
 
 def test_an_address_belongs_to_the_id_first_received_last():
     registry = TargetRegistry()
-    registry.take(announcement("old", 7))
-    registry.take(announcement("new", 1))
-    registry.take(announcement("old", 8))
-    assert [state.id for state in registry.believed()] == ["new"]
-    registry.take(gone("new"))
-    assert [state.id for state in registry.believed()] == ["old"]
+    registry.merge(announcement("old", 7))
+    registry.merge(announcement("new", 1))
+    registry.merge(announcement("old", 8))
+    assert [state.id for state in registry.address_holders()] == ["new"]
+    registry.merge(gone("new"))
+    assert [state.id for state in registry.address_holders()] == ["old"]
 
 
 def test_a_demoted_id_yields_its_address_to_other_ids():
     registry = TargetRegistry()
-    registry.take(announcement("new", 5))
-    registry.take(announcement("old", 7))
-    registry.doubt("old")
-    assert [state.id for state in registry.believed()] == ["new"]
-    registry.take(announcement("old", 8, slots=2))
-    registry.doubt("old")
-    assert [state.id for state in registry.believed()] == ["new"]
-    registry.doubt("new")
-    assert [state.id for state in registry.believed()] == ["old"]
-    registry.doubt("never heard of")
+    registry.merge(announcement("new", 5))
+    registry.merge(announcement("old", 7))
+    registry.demote("old")
+    assert [state.id for state in registry.address_holders()] == ["new"]
+    registry.merge(announcement("old", 8, slots=2))
+    registry.demote("old")
+    assert [state.id for state in registry.address_holders()] == ["new"]
+    registry.demote("new")
+    assert [state.id for state in registry.address_holders()] == ["old"]
+    registry.demote("never heard of")
 
 
 announcement_lists = st.lists(
@@ -87,7 +87,7 @@
     for order in (announcements, shuffled):
         registry = TargetRegistry()
         for state in order:
-            registry.take(state)
+            registry.merge(state)
         registries.append(registry)
     first, second = registries
     assert {s.id for s in first.ended()} == {s.id for s in second.ended()}
--- a/damaskcroft/fleet/tests/test_view.py
+++ b/damaskcroft/fleet/tests/test_view.py
@@ -144,10 +144,10 @@
 def test_listeners_are_called_for_real_changes_only(loop):
     view = FleetView()
     changes = []
-    view.listen(changes.append)
+    view.add_listener(changes.append)
     state = fleet_pb2.TargetState(id="a", sequence=1)
-    view.take([state])
-    view.take([state])
+    view.merge([state])
+    view.merge([state])
     assert len(changes) == 1
 
 
@@ -156,8 +156,8 @@
         view = FleetView()
         old = fleet_pb2.AgentState(address="a", incarnation="1", sequence=9)
         new = fleet_pb2.AgentState(address="a", incarnation="2", sequence=1)
-        view.take([], [old])
-        view.take([], [new])
+        view.merge([], [old])
+        view.merge([], [new])
         assert view.agents_by_address["a"].incarnation == "2"
 
     loop.run(scenario())
@@ -176,10 +176,10 @@
     async def scenario():
         old, new = agent("z", 1000, 9), agent("b", 2000, 1)
         views = [FleetView(), FleetView()]
-        views[0].take([], [old])
-        views[0].take([], [new])
-        views[1].take([], [new])
-        views[1].take([], [old])
+        views[0].merge([], [old])
+        views[0].merge([], [new])
+        views[1].merge([], [new])
+        views[1].merge([], [old])
         held = [view.agents_by_address["a:1"].incarnation for view in views]
         assert held == ["b", "b"]
         assert views[1].changes == 1
@@ -205,9 +205,9 @@
     ]
 
     async def scenario():
-        view.take(targets)
+        view.merge(targets)
 
     loop.run(scenario())
     lines = [r for r in caplog.messages if "target_changed" in r]
     assert len(lines) == (1 if watcher == "agent" else len(targets))
-    assert len(list(view.book.words())) == len(targets)
+    assert len(list(view.targets.snapshot())) == len(targets)
--- a/damaskcroft/forwarding/_gate.py
+++ b/damaskcroft/forwarding/_gate.py
@@ -133,7 +133,7 @@
 
     def limits(self) -> CallerLimits:
         """Limits for callers in the configuration in force."""
-        table = self._view.table
+        table = self._view.route_table
         if table is not None and self._limits_version != table.version:
             self._limits = _limits_of(table.limits)
             self._limits_version = table.version
@@ -200,11 +200,13 @@
             )
 
     def _has_view(self) -> bool:
-        has_targets = next(iter(self._view.book.believed()), None) is not None
-        return self._view.table is not None and has_targets
+        has_targets = (
+            next(iter(self._view.targets.address_holders()), None) is not None
+        )
+        return self._view.route_table is not None and has_targets
 
     def _admit(self, call: Call) -> Job | Refused:
-        table = self._view.table
+        table = self._view.route_table
         if table is None:
             return Refused("no_configuration", Ran.NO)
         route = table.route(call.host, call.path)
--- a/damaskcroft/forwarding/_running.py
+++ b/damaskcroft/forwarding/_running.py
@@ -34,7 +34,7 @@
         self._dispatches: set[Dispatch] = set()
         self._services = services
         self._suspects = suspects
-        suspects.listen(self._abort_quarantined)
+        suspects.add_listener(self._abort_quarantined)
 
     @contextlib.contextmanager
     def registered(self, dispatch: Dispatch) -> Iterator[None]:
--- a/damaskcroft/forwarding/_services.py
+++ b/damaskcroft/forwarding/_services.py
@@ -134,14 +134,14 @@
         Requests at the earlier start are lost, even where their connections
         remain open and silent.
         """
-        state = self._view.book.newest(candidate.target_id)
+        state = self._view.targets.newest(candidate.target_id)
         if state is None or not state.born_ms:
             return False
         return start_id(state) != candidate.id != candidate.target_id
 
     def is_draining(self, candidate: Candidate) -> bool:
         """Whether a start has announced its end, or has ended after that."""
-        return self._view.book.is_draining(
+        return self._view.targets.is_draining(
             candidate.target_id, candidate.born_ms
         )
 
@@ -151,7 +151,7 @@
             return True
         return any(
             start_id(state) != candidate.id
-            for state in self._view.book.believed()
+            for state in self._view.targets.address_holders()
             if state.address == candidate.address
         )
 
@@ -296,7 +296,7 @@
         self._agents_by_target = agents_by_target_address(self._view)
         self._states_by_service = {}
         self._states_by_start_id = {}
-        for state in self._view.book.believed():
+        for state in self._view.targets.address_holders():
             if state.phase == fleet_pb2.TARGET_READY:
                 states = self._states_by_service.setdefault(state.service, [])
                 states.append(state)
@@ -321,7 +321,7 @@
         return self._engine(service).layers
 
     def _engine(self, service: str) -> fleet_pb2.EngineProfile:
-        table = self._view.table
+        table = self._view.route_table
         known = table.services_by_name.get(service) if table else None
         return known.engine if known else _EMPTY_PROFILE
 
--- a/damaskcroft/forwarding/_suspects.py
+++ b/damaskcroft/forwarding/_suspects.py
@@ -90,9 +90,9 @@
             registry.crashed_at,
         )
 
-    def listen(self, listener: Callable[[], None]) -> None:
+    def add_listener(self, listener: Callable[[], None]) -> None:
         """Calls `listener` whenever the suspicion of a request changes."""
-        self._registry.listen(listener)
+        self._registry.add_listener(listener)
 
     def check_crashes(self) -> None:
         """Checks for crashes that are detected late; to be called often."""
--- a/damaskcroft/forwarding/tests/fakes.py
+++ b/damaskcroft/forwarding/tests/fakes.py
@@ -342,7 +342,7 @@
         target.server = server
         port = server.sockets[0].getsockname()[1]
         target.address = f"127.0.0.1:{port}"
-        view.take(
+        view.merge(
             [
                 fleet_pb2.TargetState(
                     id=target.name, service="s", address=target.address,
@@ -356,7 +356,7 @@
         view.limits,
         "e",
         frozenset,
-        lambda limits: view.take([], limits=limits),
+        lambda limits: view.merge([], limits=limits),
     )
     placer = Placer(
         "d",
@@ -384,7 +384,7 @@
             view.crashes,
             services,
             back_pressure,
-            lambda crashes: view.take([], crashes=crashes),
+            lambda crashes: view.merge([], crashes=crashes),
         ),
         view.demote_target,
     )
--- a/damaskcroft/forwarding/tests/test_back_pressure.py
+++ b/damaskcroft/forwarding/tests/test_back_pressure.py
@@ -103,7 +103,7 @@
         async with running_entry(target, config=REPEATABLE) as entry:
             await entry.send_request()
             assert (await entry.send_request())[0] == 503
-            entry.view.take(
+            entry.view.merge(
                 [
                     fleet_pb2.TargetState(
                         id="a", service="s", address=target.address, slots=4,
--- a/damaskcroft/forwarding/tests/test_ended_targets.py
+++ b/damaskcroft/forwarding/tests/test_ended_targets.py
@@ -114,7 +114,7 @@
         sequence=sequence,
         held=[held(version) for version in versions],
     )  # fmt: skip
-    entry.view.take([state])
+    entry.view.merge([state])
 
 
 def held(version):
--- a/damaskcroft/forwarding/tests/test_forwarding.py
+++ b/damaskcroft/forwarding/tests/test_forwarding.py
@@ -129,7 +129,7 @@
                 id="a", service="s", address="127.0.0.1:1", slots=400,
                 sequence=1,
             )  # fmt: skip
-            entry.view.take([state])
+            entry.view.merge([state])
             for _ in range(6):
                 assert (await entry.send_request())[0] == 200
             assert gone.heads == []
@@ -311,7 +311,7 @@
                 while not old.heads:
                     await asyncio.sleep(0.01)
             held = fleet_pb2.HeldLayers(model="m", version=2)
-            entry.view.take(
+            entry.view.merge(
                 [
                     fleet_pb2.TargetState(
                         id="new", service="s", address=new.address,
@@ -365,7 +365,7 @@
                     address="x:2", target_address=target.address,
                     incarnation="1", sequence=sequence, **fields,
                 )  # fmt: skip
-                entry.view.take([], [agent])
+                entry.view.merge([], [agent])
 
             loop = asyncio.get_running_loop()
             announce_agent(1)
@@ -408,11 +408,11 @@
                 id="old", service="s", address=target.address,
                 slots=4, sequence=7,
             )  # fmt: skip
-            entry.view.take([late])
+            entry.view.merge([late])
             status, _, body = await entry.send_request()
             assert (status, body) == (200, b"new")
             assert request_count(target) == 2
-            entry.view.take([late])
+            entry.view.merge([late])
             assert (await entry.send_request())[0] == 200
             assert request_count(target) == 3
 
@@ -429,10 +429,10 @@
                 id="a", service="s", address=target.address, slots=4,
                 sequence=1,
             )  # fmt: skip
-            entry.view.take([later])
+            entry.view.merge([later])
             entry.services.is_expected_to_hold = lambda *_: False
             assert (await entry.send_request())[0] == 503
-            assert [s.id for s in entry.view.book.believed()] == ["a"]
+            assert [s.id for s in entry.view.targets.address_holders()] == ["a"]
 
     asyncio.run(scenario())
 
@@ -451,13 +451,13 @@
     async def scenario():
         target = FakeTarget("a", "whole")
         async with running_entry(target, config=REPEATABLE) as entry:
-            entry.view.take([started(target, 1000)])
+            entry.view.merge([started(target, 1000)])
             (before,) = entry.candidates()
             assert before.target_id == "a"
             entry.placer.told(before.id, 9)
             slot = entry.placer.take(before, 500)
             assert entry.placer.fullness(before) > 2
-            entry.view.take([started(target, 2000)])
+            entry.view.merge([started(target, 2000)])
             (after,) = entry.candidates()
             assert entry.placer.fullness(after) == 0
             slot.give_back()
@@ -465,7 +465,7 @@
             assert entry.services.has_restarted(before)
             assert not entry.services.has_restarted(after)
             # A late announcement of the earlier start changes nothing.
-            entry.view.take([started(target, 1000, sequence=99)])
+            entry.view.merge([started(target, 1000, sequence=99)])
             assert entry.candidates() == [after]
 
     asyncio.run(scenario())
@@ -481,7 +481,7 @@
             FakeTarget("b", "whole"),
         )
         async with running_entry(dead, sound, config=REPEATABLE) as entry:
-            entry.view.take([started(dead, 1000), started(sound, 1000)])
+            entry.view.merge([started(dead, 1000), started(sound, 1000)])
             busy = [c for c in entry.candidates() if c.target_id == "b"]
             slots = [entry.placer.take(busy[0]) for _ in range(3)]
             asking = asyncio.create_task(entry.send_request())
@@ -489,7 +489,7 @@
                 await asyncio.sleep(0.01)
             for slot in slots:
                 slot.give_back()
-            entry.view.take([started(dead, 2000)])
+            entry.view.merge([started(dead, 2000)])
             async with asyncio.timeout(0.5):
                 status, _, _ = await asking
             assert status == 200
@@ -526,8 +526,8 @@
     async def scenario():
         target = FakeTarget("a", "whole")
         async with running_entry(target) as entry:
-            known = list(entry.view.book.words())
-            entry.view.book = TargetRegistry()
+            known = list(entry.view.targets.snapshot())
+            entry.view.targets = TargetRegistry()
             if missing == "targets":
                 entry.view.apply_configuration(NOT_REPEATABLE)
             asking = asyncio.create_task(entry.send_request())
@@ -535,7 +535,7 @@
             assert not asking.done()
             entry.view.apply_configuration(NOT_REPEATABLE)
             await asyncio.sleep(0.1)
-            entry.view.take(known)
+            entry.view.merge(known)
             status, _, body = await asking
             assert (status, body) == (200, b"a")
 
--- a/damaskcroft/forwarding/tests/test_quarantined.py
+++ b/damaskcroft/forwarding/tests/test_quarantined.py
@@ -36,7 +36,7 @@
     The crashes are those that other entries have seen.
     """
     digest = fingerprint(customer, "h", b"POST", b"/a", b"")
-    entry.view.take(
+    entry.view.merge(
         [],
         crashes=[crash(f"x{n}", digest, n + 1) for n in range(count)],
     )
@@ -111,7 +111,7 @@
             assert request_count(first, second) == 2
             # The answer clears the request, whether the crash or the answer is
             # recorded first.
-            await wait_until(lambda: next(entry.view.crashes.words(), None))
+            await wait_until(lambda: next(entry.view.crashes.snapshot(), None))
             note_crashes(entry, 2)
             assert (await entry.send_request())[0] == 200
 
@@ -165,7 +165,7 @@
         async with running_entry(target, config=REPEATABLE) as entry:
             suspect = note_crashes(entry, 0)
             words = [crash(f"x{n}", suspect, n + 1, "t") for n in range(2)]
-            entry.view.take([], crashes=words)
+            entry.view.merge([], crashes=words)
             assert (await entry.send_request())[0] == 200
             assert entry.view.crashes.is_suspect(suspect)
 
@@ -235,7 +235,7 @@
         async with running_entry(*targets, config=NOT_REPEATABLE) as entry:
             other = fingerprint("", "h", b"POST", b"/b", b"")
             note_crashes(entry, 1)
-            entry.view.take([], crashes=[crash("y", other)])
+            entry.view.merge([], crashes=[crash("y", other)])
             async with (
                 running(entry.send_request("/a")),
                 running(entry.send_request("/b")),
--- a/damaskcroft/forwarding/tests/test_rate_limits.py
+++ b/damaskcroft/forwarding/tests/test_rate_limits.py
@@ -111,7 +111,7 @@
         target = FakeTarget("a", "whole")
         async with running_entry(target, config=REPEATABLE) as entry:
             state = limits_pb2.NamedLimit(start_id="a", rate_s=0.5, revision=1)
-            entry.view.take([], limits=[state])
+            entry.view.merge([], limits=[state])
             assert (await entry.send_request())[0] == 503
             assert target.heads == []
 
@@ -123,7 +123,7 @@
         target = FakeTarget("a", "only_for_itself")
         async with running_entry(target, config=REPEATABLE) as entry:
             state = limits_pb2.NamedLimit(start_id="a", rate_s=20, revision=1)
-            entry.view.take([], limits=[state])
+            entry.view.merge([], limits=[state])
             target.name = "another"
             await asyncio.sleep(0.2)
             await entry.send_request()
--- a/damaskcroft/forwarding/tests/test_services.py
+++ b/damaskcroft/forwarding/tests/test_services.py
@@ -32,7 +32,7 @@
             )
             for name in names
         ]  # fmt: skip
-        view.take([], agents)
+        view.merge([], agents)
 
 
 def ids(services):
@@ -44,7 +44,7 @@
 
     async def scenario():
         view = FleetView()
-        view.take([target("near", 1), target("narrow", 1)])
+        view.merge([target("near", 1), target("narrow", 1)])
         guard(view, "near", "narrow")
         delay_by_id = {"near": 0.05, "narrow": 0.9}
         services = Services(view, {}, 8.0, lambda id: delay_by_id[id])
@@ -70,7 +70,7 @@
 def test_slow_connecting_makes_request_too_late():
     async def scenario():
         view = FleetView()
-        view.take([target("a", 1)])
+        view.merge([target("a", 1)])
         guard(view, "a")
         services = Services(view, {}, 8.0)
         desired = fleet_pb2.WeightGoal(model="m", version=2, age_ms=7300)
@@ -87,7 +87,7 @@
 
     async def scenario():
         view = FleetView()
-        view.take([target("a", 1), target("b", 1)])
+        view.merge([target("a", 1), target("b", 1)])
         guard(view, "a", link_delay_ms=500)
         guard(view, "b")
         services = Services(view, {}, 8.0, lambda _: 0.05)
@@ -110,7 +110,7 @@
 
     async def scenario():
         view = FleetView()
-        view.take([target("a", 1)])
+        view.merge([target("a", 1)])
         services = Services(view, {}, 8.0, lambda _: 0.05)
         desired = fleet_pb2.WeightGoal(model="m", version=2, age_ms=5500)
         view.apply_update(fleet_pb2.FleetUpdate(goals=[desired]))
@@ -125,7 +125,7 @@
 
     async def scenario():
         view = FleetView()
-        view.take([target("a", 1)])
+        view.merge([target("a", 1)])
         guard(view, "a")
         services = Services(view, {}, 8.0)
         for version, age_ms in ((2, 5500), (3, 5200)):
@@ -147,7 +147,7 @@
 
     async def scenario():
         view = FleetView()
-        view.take([target("a", 1)])
+        view.merge([target("a", 1)])
         services = Services(view, {}, 8.0)
         desired = fleet_pb2.WeightGoal(model="m", version=2, age_ms=4000)
         view.apply_update(fleet_pb2.FleetUpdate(goals=[desired]))
@@ -167,13 +167,13 @@
 
     async def scenario():
         view = FleetView()
-        view.take([target("a", 1)])
+        view.merge([target("a", 1)])
         state = fleet_pb2.AgentState(
             address="agent-a:1", target_address="a:1", sequence=9,
             incarnation="1", held=[held(1)],
             guarded=[fleet_pb2.WeightGoal(model="m", version=2)],
         )  # fmt: skip
-        view.take([], [state])
+        view.merge([], [state])
         services = Services(view, {}, 8.0)
         desired = fleet_pb2.WeightGoal(model="m", version=2, age_ms=5500)
         view.apply_update(fleet_pb2.FleetUpdate(goals=[desired]))
@@ -207,10 +207,10 @@
         for n in ("a", "b")
     ]
     assert not services.may_serve_soon("s", "m")
-    view.take(empty)
+    view.merge(empty)
     # The versions at their agents are unknown.
     assert services.may_serve_soon("s", "m")
-    view.take([], [agent_beside("a"), agent_beside("b", **fields)])
+    view.merge([], [agent_beside("a"), agent_beside("b", **fields)])
     assert services.may_serve_soon("s", "m") == may
     assert services.may_serve_soon("s", "")
 
@@ -238,7 +238,7 @@
         )
     )
     services = Services(view, {}, 8.0)
-    view.take([target("a", 1)], [agent_beside("a", **fields)])
+    view.merge([target("a", 1)], [agent_beside("a", **fields)])
     assert services.is_expected_to_hold("s", "m", "a") == holds
     assert services.is_expected_to_hold("s", "", "a")
     assert not services.is_expected_to_hold("s", "", "b")
@@ -248,7 +248,7 @@
     async def scenario():
         view = FleetView()
         services = Services(view, {}, 8.0)
-        view.take([target("a", 1)])
+        view.merge([target("a", 1)])
         assert services.is_expected_to_hold("s", "m", "a")
         desired = fleet_pb2.WeightGoal(model="m", version=2, age_ms=7700)
         view.apply_update(fleet_pb2.FleetUpdate(goals=[desired]))
--- a/damaskcroft/forwarding/tests/test_silent_targets.py
+++ b/damaskcroft/forwarding/tests/test_silent_targets.py
@@ -23,7 +23,7 @@
         id=target.name, service="s", address=target.address, slots=4,
         sequence=sequence, born_ms=born_ms,
     )  # fmt: skip
-    entry.view.take([state])
+    entry.view.merge([state])
 
 
 @pytest.mark.parametrize("mode", ["stream_pauses", "stream_after_a_pause"])
--- a/damaskcroft/hosted/control.py
+++ b/damaskcroft/hosted/control.py
@@ -112,8 +112,8 @@
         [seed for seed in seeds if seed != settings.rpc_address],
         lambda: fleet_pb2.WatchRequest(
             name=settings.name,
-            crashes=view.crashes.words(),
-            limits=view.limits.words(),
+            crashes=view.crashes.snapshot(),
+            limits=view.limits.snapshot(),
         ),
         own_address=settings.rpc_address,
         without_configuration=True,
--- a/damaskcroft/hosted/entry.py
+++ b/damaskcroft/hosted/entry.py
@@ -78,8 +78,8 @@
         lambda: fleet_pb2.WatchRequest(
             name=settings.name,
             is_entry=True,
-            crashes=view.crashes.words(),
-            limits=view.limits.words(),
+            crashes=view.crashes.snapshot(),
+            limits=view.limits.snapshot(),
         ),
     )
     reporter = Reporter(view, channels, seeds)
@@ -139,13 +139,13 @@
     gate = EntryGate(wire, view, forwarder)
 
     def is_ready() -> bool:
-        return view.table is not None and not gate.is_stopping()
+        return view.route_table is not None and not gate.is_stopping()
 
     async def keep_clean() -> None:
         while True:
             await asyncio.sleep(_CLEANUP_INTERVAL_S)
             connections.close_expired()
-            live_start_ids = view.book.start_ids()
+            live_start_ids = view.targets.start_ids()
             placer.retain_only(live_start_ids)
             delays.retain_only(live_start_ids)
             back_pressure.retain_only(live_start_ids)
--- a/damaskcroft/limits/_rate_limits.py
+++ b/damaskcroft/limits/_rate_limits.py
@@ -53,7 +53,7 @@
     """Enforces this entry's share of the rate limits of targets.
 
     Args:
-        book: registry of the limits that are known in the fleet.
+        registry: the limits that are known in the fleet.
         own_name: name of this entry.
         entries: returns the names of all entries of the fleet.
         publish: merges changed limits into the registry and sends them to the
@@ -62,13 +62,13 @@
 
     def __init__(
         self,
-        book: LimitRegistry,
+        registry: LimitRegistry,
         own_name: str,
         entries: Callable[[], frozenset[str]],
         publish: Callable[[Iterable[limits_pb2.NamedLimit]], object],
     ):
         """Starts without shares."""
-        self._book = book
+        self._registry = registry
         self._own_name = own_name
         self._entries = entries
         self._publish = publish
@@ -77,7 +77,7 @@
     @property
     def is_active(self) -> bool:
         """Whether any target has a rate limit; a constant-time check."""
-        return self._book.is_active
+        return self._registry.is_active
 
     def answered(
         self, start_id: str, header: LimitHeader, sent_at: float
@@ -89,7 +89,7 @@
             header: the limit in the answer's header.
             sent_at: loop time at which the request was sent.
         """
-        change = self._book.change(start_id, header, sent_at)
+        change = self._registry.change(start_id, header, sent_at)
         if change is not None:
             self._publish([change])
 
@@ -114,7 +114,7 @@
         time_to_send_s = self.time_to_send_s(start_id)
         if math.isfinite(time_to_send_s):
             return time_to_send_s
-        return 1 / max(self._book.rate_s(start_id), MIN_RATE_S)
+        return 1 / max(self._registry.rate_s(start_id), MIN_RATE_S)
 
     def is_deferred(self, start_id: str) -> bool:
         """Whether other targets with room are preferred to a limited one."""
@@ -152,7 +152,10 @@
             start_id: id of the target's start.
             since: loop time at which the slot was taken.
         """
-        if since >= self._book.limited_since(start_id) or not self.is_active:
+        if (
+            since >= self._registry.limited_since(start_id)
+            or not self.is_active
+        ):
             return True
         if self.time_to_send_s(start_id) > 0:
             return False
@@ -166,7 +169,7 @@
 
     def _current_share(self, start_id: str) -> _Share | None:
         """Returns this entry's current share; None without a limit."""
-        rate_s = self._book.rate_s(start_id)
+        rate_s = self._registry.rate_s(start_id)
         if math.isinf(rate_s):
             return None
         share = self._shares_by_start.setdefault(start_id, _Share())
--- a/damaskcroft/limits/_registry.py
+++ b/damaskcroft/limits/_registry.py
@@ -95,7 +95,7 @@
 
     def named(self) -> list[limits_pb2.NamedLimit]:
         """Returns all limits that targets announce now."""
-        return [each for each in self.words() if not each.lifted]
+        return [each for each in self.snapshot() if not each.lifted]
 
     # --- Answers --------------------------------------------------------------
 
@@ -137,17 +137,17 @@
 
     # --- Merging --------------------------------------------------------------
 
-    def take_all(
+    def merge_all(
         self, limits: Iterable[limits_pb2.NamedLimit]
     ) -> list[limits_pb2.NamedLimit]:
         """Merges announcements; returns those that changed the registry."""
         return [each for each in limits if self._merge(each)]
 
-    def words(self) -> Iterator[limits_pb2.NamedLimit]:
+    def snapshot(self) -> Iterator[limits_pb2.NamedLimit]:
         """Returns all announcements, including those of lifted limits."""
         return (limit.announcement for limit in self._limits_by_start.values())
 
-    def words_of(
+    def snapshot_of(
         self, starts: Iterable[str]
     ) -> Iterator[limits_pb2.NamedLimit]:
         """Returns the announcements of some starts, if still present."""
--- a/damaskcroft/limits/tests/test_rate_limits.py
+++ b/damaskcroft/limits/tests/test_rate_limits.py
@@ -12,10 +12,10 @@
     """The rate limits of one entry, next to other entries by name."""
 
     def __init__(self, *others):
-        self.book = LimitRegistry()
+        self.registry = LimitRegistry()
         self.others = frozenset(others)
         self.limits = RateLimits(
-            self.book, "own", lambda: self.others, self.book.take_all
+            self.registry, "own", lambda: self.others, self.registry.merge_all
         )
 
     def announce(self, rate_s, start="t@1"):
--- a/damaskcroft/limits/tests/test_registry.py
+++ b/damaskcroft/limits/tests/test_registry.py
@@ -29,7 +29,7 @@
 
     def record(header, sent_at=0.0):
         change = registry.change("t@1", header, sent_at)
-        return registry.take_all([change] if change else [])
+        return registry.merge_all([change] if change else [])
 
     return record
 
@@ -118,7 +118,7 @@
             announcement(5.0, 3),
         ]
         registry = LimitRegistry()
-        registry.take_all(all_limits[n] for n in order)
+        registry.merge_all(all_limits[n] for n in order)
         assert registry.rate_s("t@1") == 5.0
 
     loop = VirtualTimeLoop()
@@ -128,9 +128,9 @@
 
 def test_an_outdated_announcement_changes_nothing(loop, registry):
     async def scenario():
-        registry.take_all([announcement(2.0, 3)])
+        registry.merge_all([announcement(2.0, 3)])
         assert (
-            registry.take_all([announcement(9.0, 2), announcement(2.0, 3)])
+            registry.merge_all([announcement(9.0, 2), announcement(2.0, 3)])
             == []
         )
 
@@ -139,7 +139,7 @@
 
 def test_limits_of_targets_that_are_gone_are_dropped(loop, registry):
     async def scenario():
-        registry.take_all(
+        registry.merge_all(
             [announcement(2.0, start="a"), announcement(2.0, start="b")]
         )
         registry.retain_only({"a"})
@@ -147,6 +147,6 @@
         assert registry.rate_s("b") == 2.0
         await asyncio.sleep(120)
         registry.retain_only({"a"})
-        assert [each.start_id for each in registry.words()] == ["a"]
+        assert [each.start_id for each in registry.snapshot()] == ["a"]
 
     loop.run(scenario())
--- a/damaskcroft/membership/_client.py
+++ b/damaskcroft/membership/_client.py
@@ -123,7 +123,7 @@
             )
             if sent_changes != crashes.changes:
                 sent_changes = crashes.changes
-                renewal.crashes.extend(crashes.words())
+                renewal.crashes.extend(crashes.snapshot())
             await stream.send_message(control_pb2.HolderMessage(renew=renewal))
             try:
                 async with asyncio.timeout(self._renew_every_s):
--- a/damaskcroft/membership/_ledger.py
+++ b/damaskcroft/membership/_ledger.py
@@ -111,7 +111,7 @@
     def _record_crashes(
         self, crashes: Iterable[quarantine_pb2.TargetCrash]
     ) -> None:
-        if self.crashes.take_all(crashes):
+        if self.crashes.merge_all(crashes):
             self.note_crashes()
 
     def note_crashes(self) -> None:
@@ -123,7 +123,7 @@
         """Returns all known crashes if any changed after a sequence."""
         if self._crashes_sequence <= sequence:
             return []
-        return list(self.crashes.words())
+        return list(self.crashes.snapshot())
 
     def release(self, holder_id: str, incarnation: str) -> None:
         """Ends a lease that its holder has released."""
--- a/damaskcroft/membership/_roster.py
+++ b/damaskcroft/membership/_roster.py
@@ -50,7 +50,7 @@
             self.holders_by_id[holder.id] = holder
         for report in delta.reports:
             self.reports_by_id[report.id] = report
-        self.crashes.take_all(delta.crashes)
+        self.crashes.merge_all(delta.crashes)
         self.lapsed_ids.update(delta.lapsed)
         self.lapsed_ids.difference_update(delta.present)
         self.revision = delta.to_revision
--- a/damaskcroft/platform/tests/test_targets_over_http.py
+++ b/damaskcroft/platform/tests/test_targets_over_http.py
@@ -76,7 +76,7 @@
     def list_targets(self):
         return [
             (state.id, state.address, state.slots, state.phase)
-            for state in self.view.book.believed()
+            for state in self.view.targets.address_holders()
         ]
 
 
--- a/damaskcroft/quarantine/_copies.py
+++ b/damaskcroft/quarantine/_copies.py
@@ -65,7 +65,7 @@
         # Signalled when a copy has ended, a turn is granted, or a verdict
         # changes.
         self._changed = Signal()
-        registry.listen(self._changed.give)
+        registry.add_listener(self._changed.notify)
 
     @contextlib.asynccontextmanager
     async def one_at_a_time(
@@ -136,7 +136,7 @@
         finally:
             if is_owner:
                 self._in_progress.discard(key)
-                self._changed.give()
+                self._changed.notify()
 
     @contextlib.asynccontextmanager
     async def _held_turn(
@@ -157,7 +157,7 @@
 
         def on_granted() -> None:
             granted.set()
-            self._changed.give()
+            self._changed.notify()
 
         left_s = max(0.0, until - now_s())
         turn_task = asyncio.ensure_future(
--- a/damaskcroft/quarantine/_crash_registry.py
+++ b/damaskcroft/quarantine/_crash_registry.py
@@ -90,21 +90,21 @@
         # Number of changes, for callers that publish them.
         self.changes = 0
 
-    def listen(self, listener: Callable[[], None]) -> None:
+    def add_listener(self, listener: Callable[[], None]) -> None:
         """Calls `listener` after each change of the verdicts."""
         self._listeners.append(listener)
 
     # --- Merging ------------------------------------------------------------
 
-    def take(self, report: quarantine_pb2.TargetCrash) -> bool:
+    def merge(self, report: quarantine_pb2.TargetCrash) -> bool:
         """Merges a report of one crash.
 
         Returns:
             Whether it contained anything new.
         """
-        return bool(self.take_all([report]))
+        return bool(self.merge_all([report]))
 
-    def take_all(
+    def merge_all(
         self, reports: Iterable[quarantine_pb2.TargetCrash]
     ) -> list[quarantine_pb2.TargetCrash]:
         """Merges reports of crashes and recomputes the verdicts once.
@@ -127,12 +127,12 @@
         crash.service = crash.service or report.service
         return _merge(crash, report)
 
-    def words(self) -> Iterator[quarantine_pb2.TargetCrash]:
+    def snapshot(self) -> Iterator[quarantine_pb2.TargetCrash]:
         """All known crashes, for publishing to other processes."""
         self.evict_expired()
         return (self._to_message(start) for start in self._crashes_by_start)
 
-    def words_of(
+    def snapshot_of(
         self, starts: Iterable[str]
     ) -> Iterator[quarantine_pb2.TargetCrash]:
         """The known crashes among some starts; expired ones are left out."""
--- a/damaskcroft/quarantine/tests/crash_simulation.py
+++ b/damaskcroft/quarantine/tests/crash_simulation.py
@@ -165,7 +165,7 @@
             )
             for (name, _), chain in sorted(lost.items())
         ]
-        self._registry.take(
+        self._registry.merge(
             quarantine_pb2.TargetCrash(start_id=start, suspects=suspects)
         )
         self._schedule(self.now + _RESTART_AFTER_S, self._restart, target)
--- a/damaskcroft/quarantine/tests/fleet_simulation.py
+++ b/damaskcroft/quarantine/tests/fleet_simulation.py
@@ -228,11 +228,11 @@
             )  # fmt: skip
 
     def publish(self, publisher, crash):
-        publisher.registry.take(crash)
+        publisher.registry.merge(crash)
         for entry in self.entries:
             if entry is not publisher:
                 self._call_after_delay(
-                    self._delays.publish_s, entry.registry.take, crash
+                    self._delays.publish_s, entry.registry.merge, crash
                 )
 
     async def hold_turn(self, key, for_s, granted):
--- a/damaskcroft/quarantine/tests/test_copies.py
+++ b/damaskcroft/quarantine/tests/test_copies.py
@@ -44,7 +44,7 @@
 
     async def scenario():
         suspect = quarantine_pb2.Suspect(fingerprint=b"bad", chain=1)
-        registry.take(
+        registry.merge(
             quarantine_pb2.TargetCrash(start_id="t", suspects=[suspect])
         )
 
@@ -156,7 +156,7 @@
         await asyncio.sleep(0.5)
         for n in range(3):
             suspect = quarantine_pb2.Suspect(fingerprint=b"bad", chain=n + 1)
-            registry.take(
+            registry.merge(
                 quarantine_pb2.TargetCrash(start_id=f"{n}", suspects=[suspect])
             )
         # Each checks the verdict before it sends.
@@ -204,7 +204,7 @@
         registry = CrashRegistry()
         for name in (b"bad", b"sound"):
             suspect = quarantine_pb2.Suspect(fingerprint=name, chain=chain)
-            registry.take(
+            registry.merge(
                 quarantine_pb2.TargetCrash(start_id="t", suspects=[suspect])
             )
         fleet = Fleet(registry, entries)
@@ -225,7 +225,7 @@
         registry = CrashRegistry()
         for name in (b"bad", b"sound"):
             suspect = quarantine_pb2.Suspect(fingerprint=name, chain=2)
-            registry.take(
+            registry.merge(
                 quarantine_pb2.TargetCrash(start_id="t", suspects=[suspect])
             )
         copies = SerialCopies(registry)
@@ -255,7 +255,7 @@
     async def scenario():
         registry = CrashRegistry()
         suspect = quarantine_pb2.Suspect(fingerprint=b"bad", chain=chain)
-        registry.take(
+        registry.merge(
             quarantine_pb2.TargetCrash(start_id="t", suspects=[suspect])
         )
         copies = SerialCopies(registry)
--- a/damaskcroft/quarantine/tests/test_crash_registry.py
+++ b/damaskcroft/quarantine/tests/test_crash_registry.py
@@ -42,7 +42,7 @@
 
     async def scenario():
         for n in range(3):
-            registry.take(crash(f"t{n}", b"bad"))
+            registry.merge(crash(f"t{n}", b"bad"))
             await asyncio.sleep(1)
 
     loop.run(scenario())
@@ -56,11 +56,11 @@
 def test_repeated_reports_of_one_crash_count_once(loop, registry):
     async def scenario():
         for _ in range(5):
-            registry.take(crash("t0", b"bad"))
-        registry.take(crash("t1", b"bad"))
+            registry.merge(crash("t0", b"bad"))
+        registry.merge(crash("t1", b"bad"))
         assert registry.is_suspect(b"bad")
         assert not registry.quarantined_s(b"bad")
-        registry.take(crash("t2", b"bad"))
+        registry.merge(crash("t2", b"bad"))
         assert registry.quarantined_s(b"bad") > 60
 
     loop.run(scenario())
@@ -69,13 +69,13 @@
 def test_crashes_seen_by_different_entries_are_merged(loop):
     async def scenario():
         first_registry, second_registry = CrashRegistry(), CrashRegistry()
-        first_registry.take(crash("t0", b"bad"))
-        first_registry.take(crash("t1", b"bad"))
-        second_registry.take(crash("t2", b"bad", b"beside"))
-        for report in list(second_registry.words()):
-            first_registry.take(report)
-        for report in list(first_registry.words()):
-            second_registry.take(report)
+        first_registry.merge(crash("t0", b"bad"))
+        first_registry.merge(crash("t1", b"bad"))
+        second_registry.merge(crash("t2", b"bad", b"beside"))
+        for report in list(second_registry.snapshot()):
+            first_registry.merge(report)
+        for report in list(first_registry.snapshot()):
+            second_registry.merge(report)
         assert (
             quarantined_fingerprints(first_registry)
             == quarantined_fingerprints(second_registry)
@@ -88,9 +88,9 @@
 def test_requests_beside_a_quarantined_one_are_not_quarantined(loop, registry):
     async def scenario():
         for n, suspects in enumerate(("a b", "a", "c")):
-            registry.take(crash(f"t{n}", b"bad", *suspects.encode().split()))
+            registry.merge(crash(f"t{n}", b"bad", *suspects.encode().split()))
             await asyncio.sleep(0.1)
-        registry.take(crash("t3", b"a"))
+        registry.merge(crash("t3", b"a"))
         assert quarantined_fingerprints(registry) == {b"bad"}
         # Another request explains two of its three crashes.
         assert not registry.quarantined_s(b"a")
@@ -105,14 +105,14 @@
     # crashes, beside other requests, are explained by those.
     async def scenario():
         for n in range(3):
-            registry.take(
+            registry.merge(
                 crash(f"t{n}", b"bad", *([b"worse"] if n == 1 else []))
             )
             await asyncio.sleep(0.1)
-        registry.take(crash("t3", b"worse"))
+        registry.merge(crash("t3", b"worse"))
         await asyncio.sleep(0.1)
         assert quarantined_fingerprints(registry) == {b"bad"}
-        registry.take(crash("t4", b"worse"))
+        registry.merge(crash("t4", b"worse"))
         assert quarantined_fingerprints(registry) == {b"bad", b"worse"}
 
     loop.run(scenario())
@@ -128,7 +128,7 @@
         for n in range(crashed):
             report = crash(f"t{n}", b"bad")
             report.service = "s"
-            registry.take(report)
+            registry.merge(report)
         starts = [f"t{n}" for n in range(crashed + 2)]
         assert registry.few_left("s", starts) is expected
         assert not registry.few_left("another", starts)
@@ -141,13 +141,13 @@
 def test_an_answer_clears_and_later_crashes_count_from_zero(loop, registry):
     async def scenario():
         for n in range(2):
-            registry.take(crash(f"t{n}", b"bad"))
+            registry.merge(crash(f"t{n}", b"bad"))
         reports = registry.clear(b"bad")
         assert not registry.is_suspect(b"bad")
         other = CrashRegistry()
         for report in reports:
-            other.take(report)
-        other.take(crash("t2", b"bad"))
+            other.merge(report)
+        other.merge(crash("t2", b"bad"))
         assert other.is_suspect(b"bad")
         assert quarantined_fingerprints(other) == set()
 
@@ -157,9 +157,9 @@
 def test_a_late_report_does_not_undo_a_clearance(loop, registry):
     async def scenario():
         late = crash("t0", b"bad")
-        registry.take(late)
+        registry.merge(late)
         registry.clear(b"bad")
-        registry.take(late)
+        registry.merge(late)
         assert not registry.is_suspect(b"bad")
 
     loop.run(scenario())
@@ -172,9 +172,9 @@
         reports += [crash(f"t{n}", b"bad", cleared=[b"x0"]) for n in range(4)]
         registry, shuffled_registry = CrashRegistry(), CrashRegistry()
         for report in reports:
-            registry.take(report)
+            registry.merge(report)
         for n in order:
-            shuffled_registry.take(reports[n])
+            shuffled_registry.merge(reports[n])
         assert (
             quarantined_fingerprints(registry)
             == quarantined_fingerprints(shuffled_registry)
@@ -199,7 +199,7 @@
         while asyncio.get_running_loop().time() < ends_at:
             if not registry.quarantined_s(b"bad"):
                 retries += 1
-                registry.take(crash(f"again{retries}", b"bad"))
+                registry.merge(crash(f"again{retries}", b"bad"))
                 assert registry.quarantined_s(b"bad")
             await asyncio.sleep(60)
         assert retries == 3
@@ -210,11 +210,11 @@
 def test_a_crash_without_quarantine_expires(loop, registry_with_quarantine):
     async def scenario():
         registry = registry_with_quarantine
-        registry.take(crash("other", b"beside"))
+        registry.merge(crash("other", b"beside"))
         await asyncio.sleep(2 * _HOUR_S)
         registry.evict_expired()
         assert not registry.is_suspect(b"beside")
-        assert {report.start_id for report in registry.words()} == {
+        assert {report.start_id for report in registry.snapshot()} == {
             "t0",
             "t1",
             "t2",
@@ -237,10 +237,10 @@
     async def scenario():
         registry = registry_with_quarantine
         for n in range(2 * _MAX_STARTS):
-            registry.take(crash(f"s{n}", b"other %d" % n))
+            registry.merge(crash(f"s{n}", b"other %d" % n))
             await asyncio.sleep(1)
-        assert len(list(registry.words())) == _MAX_STARTS
-        registry.take(crash("again", b"bad"))
+        assert len(list(registry.snapshot())) == _MAX_STARTS
+        registry.merge(crash("again", b"bad"))
         assert quarantined_fingerprints(registry) == {b"bad"}
 
     loop.run(scenario())
@@ -249,7 +249,7 @@
 def test_the_age_in_a_report_dates_the_crash(loop, registry):
     async def scenario():
         for n in range(3):
-            registry.take(crash(f"t{n}", b"bad", age_ms=300_000))
+            registry.merge(crash(f"t{n}", b"bad", age_ms=300_000))
         assert 200 < registry.quarantined_s(b"bad") <= 300
 
     loop.run(scenario())
@@ -282,7 +282,7 @@
 ):
     async def scenario():
         for n in range(10):
-            registry.take(crash(f"t{n}", b"popular", chain=chain))
+            registry.merge(crash(f"t{n}", b"popular", chain=chain))
         assert registry.chain(b"popular") == chain
         assert quarantined_fingerprints(registry) == set()
 
@@ -293,7 +293,7 @@
     async def scenario():
         for chain in (1, 3):
             for n in range(3):
-                registry.take(crash(f"t{n}", b"bad", chain=chain))
+                registry.merge(crash(f"t{n}", b"bad", chain=chain))
         assert quarantined_fingerprints(registry) == {b"bad"}
 
     loop.run(scenario())
@@ -364,9 +364,9 @@
 def test_a_recently_answered_request_needs_more_crashes(loop, registry):
     async def scenario():
         for n in range(1, 8):
-            registry.take(crash(f"t{n}", b"often", chain=n, answered=n == 1))
+            registry.merge(crash(f"t{n}", b"often", chain=n, answered=n == 1))
             assert quarantined_fingerprints(registry) == set()
-        registry.take(crash("t8", b"often", chain=8))
+        registry.merge(crash("t8", b"often", chain=8))
         assert quarantined_fingerprints(registry) == {b"often"}
 
     loop.run(scenario())
@@ -392,7 +392,7 @@
         ]
         for registry in registries:
             for n in range(3):
-                registry.take(crash(f"t{n}", b"bad"))
+                registry.merge(crash(f"t{n}", b"bad"))
         end_times = {
             round(registry.quarantined_s(b"bad")) for registry in registries
         }
@@ -404,11 +404,11 @@
 def test_verdicts_are_computed_once_for_a_batch_of_reports(loop, registry):
     async def scenario():
         changes = []
-        registry.listen(lambda: changes.append(registry.changes))
-        news = registry.take_all([crash(f"t{n}", b"bad") for n in range(3)])
+        registry.add_listener(lambda: changes.append(registry.changes))
+        news = registry.merge_all([crash(f"t{n}", b"bad") for n in range(3)])
         assert len(news) == 3
         assert changes == [1]
-        assert registry.take_all(news) == []
+        assert registry.merge_all(news) == []
 
     loop.run(scenario())
 
@@ -420,7 +420,7 @@
         bad = [b"bad %d" % n for n in range(6)]
         for chain in (1, 2, 3):
             for n, name in enumerate(bad):
-                registry.take(
+                registry.merge(
                     crash(f"t{n}-{chain}", name, b"beside", chain=chain)
                 )
                 registry.clear(b"beside")
@@ -438,9 +438,9 @@
 
     async def scenario():
         for n in range(12):
-            registry.take(crash(f"other{n}", b"o%d" % n, chain=1))
+            registry.merge(crash(f"other{n}", b"o%d" % n, chain=1))
             if n in (3, 7, 11):
-                registry.take(crash(f"t{n}", b"unlucky", chain=n // 4 + 1))
+                registry.merge(crash(f"t{n}", b"unlucky", chain=n // 4 + 1))
             await asyncio.sleep(0.2)
         assert quarantined_fingerprints(registry) == set()
 
--- a/damaskcroft/tasks.py
+++ b/damaskcroft/tasks.py
@@ -37,7 +37,7 @@
         self.count = 0
         self._waiters: dict[asyncio.Future[None], None] = {}
 
-    def give(self) -> None:
+    def notify(self) -> None:
         """Counts a notification and wakes all waiters."""
         self.count += 1
         for waiter in self._waiters:
@@ -70,7 +70,7 @@
             self._waiters.pop(waiter, None)
         return self.count
 
-    async def next(self, timeout_s: float = math.inf) -> int:
+    async def wait_next(self, timeout_s: float = math.inf) -> int:
         """Waits for the next notification, or until the timeout; see `wait`."""
         return await self.wait(self.count, timeout_s)
 
--- a/damaskcroft/tests/test_tasks.py
+++ b/damaskcroft/tests/test_tasks.py
@@ -138,7 +138,7 @@
         seen = signal.count
         waiting = [asyncio.create_task(signal.wait(seen)) for _ in range(3)]
         await asyncio.sleep(1)
-        signal.give()
+        signal.notify()
         assert await asyncio.gather(*waiting) == [seen + 1] * 3
         # Notified between the check and the wait.
         started_at = loop.time()
--- a/damaskcroft/weights/_burst.py
+++ b/damaskcroft/weights/_burst.py
@@ -324,7 +324,7 @@
             indexes.extend(
                 index for index in assigned if not version.held[index]
             )
-            self._requeued.give()
+            self._requeued.notify()
         await self._read_shared(version, fetcher)
 
     async def _read_planned(
@@ -412,7 +412,7 @@
             index = self._next_index(version, fetcher, indexes)
             if index is None:
                 # The other chunks are being requested, and may be requeued.
-                await self._requeued.next(_REQUEUE_POLL_S)
+                await self._requeued.wait_next(_REQUEUE_POLL_S)
                 continue
             if version.held[index]:
                 continue
@@ -424,7 +424,7 @@
                     break
             if not version.held[index]:
                 indexes.insert(_REQUEUE_POSITION, index)
-                self._requeued.give()
+                self._requeued.notify()
 
     def _next_index(
         self,
--- a/damaskcroft/weights/_store.py
+++ b/damaskcroft/weights/_store.py
@@ -126,7 +126,7 @@
     async def wait_until_complete(self) -> None:
         """Waits until every chunk is held."""
         while not self.is_complete:
-            await self.arrived.next()
+            await self.arrived.wait_next()
 
     def scan(self) -> None:
         """Marks the chunks that the disk already holds, found by digest."""
@@ -160,7 +160,7 @@
         arrival_event = self._arrival_events_by_index.pop(index, None)
         if arrival_event is not None:
             arrival_event.set()
-        self.arrived.give()
+        self.arrived.notify()
 
     def _mark_missing(self, index: int) -> None:
         self.held_count -= self.held[index]
