--- a/damaskcroft/consensus/_leadership_transfer.py
+++ b/damaskcroft/consensus/_leadership_transfer.py
@@ -18,7 +18,7 @@
 from damaskcroft.observe import log_event, metrics
 from damaskcroft.tasks import Signal
 
-__all__ = ["LeadershipTransfer", "Leadership"]
+__all__ = ["Leadership", "LeadershipTransfer"]
 
 # A voter that was sent TimeoutNow and has not been elected within this share of
 # an election timeout is considered failed, and another voter is tried.
--- a/damaskcroft/fleet/_held.py
+++ b/damaskcroft/fleet/_held.py
@@ -8,10 +8,10 @@
 
 __all__ = [
     "agents_by_target_address",
+    "complete_versions",
     "held_layers",
     "holds_servable_layers",
     "version_in_service",
-    "complete_versions",
 ]
 
 
--- a/damaskcroft/forwarding/__init__.py
+++ b/damaskcroft/forwarding/__init__.py
@@ -21,13 +21,13 @@
 
 __all__ = [
     "AnswerFacts",
+    "AttemptMetadata",
     "Call",
     "Delivered",
     "EntryGate",
     "Forwarder",
     "Interrupted",
     "Job",
-    "AttemptMetadata",
     "Ran",
     "Refused",
     "Services",
--- a/damaskcroft/forwarding/_call.py
+++ b/damaskcroft/forwarding/_call.py
@@ -6,7 +6,7 @@
 from damaskcroft.http1 import CallerRequest, Head, Headers
 from damaskcroft.limits import LimitHeader, Unnamed
 
-__all__ = ["AnswerFacts", "Call", "AttemptMetadata", "TargetLoad", "Wire"]
+__all__ = ["AnswerFacts", "AttemptMetadata", "Call", "TargetLoad", "Wire"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/damaskcroft/http1/_shutdown.py
+++ b/damaskcroft/http1/_shutdown.py
@@ -23,8 +23,8 @@
 __all__ = [
     "IMMEDIATE_SHUTDOWN",
     "MIN_IDLE_S",
-    "ShutdownTimes",
     "GracefulServer",
+    "ShutdownTimes",
     "drained",
     "shut_down_server",
 ]
--- a/damaskcroft/limits/__init__.py
+++ b/damaskcroft/limits/__init__.py
@@ -13,8 +13,8 @@
 from damaskcroft.limits._shares import sending_share
 
 __all__ = [
-    "LimitRegistry",
     "LimitHeader",
+    "LimitRegistry",
     "Named",
     "RateLimits",
     "TokenBucket",
--- a/damaskcroft/quarantine/__init__.py
+++ b/damaskcroft/quarantine/__init__.py
@@ -15,14 +15,14 @@
 from damaskcroft.quarantine._turns import Turns
 
 __all__ = [
-    "SerialCopies",
-    "CrashRegistry",
+    "MAX_RECORDED_BODY_BYTES",
     "CrashDetector",
+    "CrashRegistry",
     "HoldTurn",
     "LostRequest",
-    "MAX_RECORDED_BODY_BYTES",
     "Quarantined",
     "RecentAnswers",
+    "SerialCopies",
     "Turns",
     "fingerprint",
     "is_gone",
--- a/damaskcroft/quarantine/_copies.py
+++ b/damaskcroft/quarantine/_copies.py
@@ -22,7 +22,7 @@
 from damaskcroft.quarantine._crash_registry import CrashRegistry
 from damaskcroft.tasks import Signal, cancel_all
 
-__all__ = ["SerialCopies", "HoldTurn"]
+__all__ = ["HoldTurn", "SerialCopies"]
 
 # Number of crashes in sequence from which a request waits for other requests
 # that have as many.
--- a/damaskcroft/records/__init__.py
+++ b/damaskcroft/records/__init__.py
@@ -19,9 +19,9 @@
     "InvalidRecord",
     "RecordRegistry",
     "UnsupportedSchema",
+    "deployed_models",
     "deployment_for",
     "matches",
-    "deployed_models",
     "parse_deployment",
     "validate",
 ]
--- a/damaskcroft/routing/_tickets.py
+++ b/damaskcroft/routing/_tickets.py
@@ -5,11 +5,11 @@
 from damaskcroft.routing._placement import Candidate, Slot
 
 __all__ = [
-    "TargetsUnavailable",
     "LongWait",
     "Overloaded",
     "QueueTicket",
     "SlotTaken",
+    "TargetsUnavailable",
 ]
 
 # Maximum share of its time that a request waits here. A refused caller retries
--- a/damaskcroft/rpc/__init__.py
+++ b/damaskcroft/rpc/__init__.py
@@ -29,15 +29,15 @@
     "KeysError",
     "called",
     "force_exit",
-    "serve_grpc",
-    "serve_http",
     "load_keys",
+    "logging_start_failure",
     "make_http_client",
     "run_daemon",
+    "run_unless_disconnected",
+    "serve_grpc",
+    "serve_http",
     "split_address",
-    "logging_start_failure",
     "stop_event",
-    "run_unless_disconnected",
 ]
 
 __getattr__ = lazy_imports(
--- a/damaskcroft/tasks.py
+++ b/damaskcroft/tasks.py
@@ -8,7 +8,7 @@
 
 from damaskcroft.observe import log_event, log_warning, metrics
 
-__all__ = ["Signal", "Work", "background", "cancelled", "cancel_all", "kept_up"]
+__all__ = ["Signal", "Work", "background", "cancel_all", "cancelled", "kept_up"]
 
 Work = Callable[[], Awaitable[None]]
 
--- a/damaskcroft/weights/_rescue.py
+++ b/damaskcroft/weights/_rescue.py
@@ -19,7 +19,7 @@
 from damaskcroft.weights._store import StagedVersion
 from damaskcroft.weights._suspects import Suspects
 
-__all__ = ["AskHolder", "QueryAgent", "ReadOutside", "OverdueChunks", "Rescuer"]
+__all__ = ["AskHolder", "OverdueChunks", "QueryAgent", "ReadOutside", "Rescuer"]
 
 _CHECK_INTERVAL_S = 0.2
 # Overdue chunks fetched at once: no more than a link of 3.65 Mbit/s carries
