--- a/damaskcroft/agent/_fleet_agent.py
+++ b/damaskcroft/agent/_fleet_agent.py
@@ -44,7 +44,7 @@
         guarded_versions: Callable[[], list[fleet_pb2.WeightGoal]] = list,
     ):
         """Starts with a state that has not been announced."""
-        self._guarded_goals = guarded_versions
+        self._guarded_versions = guarded_versions
         self._announced_at = -math.inf
         # Announcements in flight to control nodes.
         self._announcing: set[asyncio.Task] = set()
@@ -93,7 +93,7 @@
         state.target_born_ms = target_born_ms
         state.link_delay_ms = _rounded_delay_ms(self._min_part_s())
         del state.guarded[:]
-        state.guarded.extend(self._guarded_goals())
+        state.guarded.extend(self._guarded_versions())
         del state.held[:]
         state.held.extend(held)
         state.ClearField("staged")
--- a/damaskcroft/agent/_fleet_stager.py
+++ b/damaskcroft/agent/_fleet_stager.py
@@ -209,7 +209,7 @@
             if data is not None and hashlib.sha256(data).digest() == digest:
                 continue
             log_event("staged_piece_spoilt", index=index, lost=data is None)
-            if not await self._put_piece(version, index):
+            if not await self._stage_piece(version, index):
                 return False
         self._checked_at = now_s()
         return True
@@ -431,7 +431,7 @@
             ]
             put = self._put_indexes
             for index in arrived:
-                if await self._put_piece(version, index):
+                if await self._stage_piece(version, index):
                     put.add(index)
                 else:
                     await asyncio.sleep(_RETRY_S)
@@ -439,7 +439,7 @@
                 return
             await version.arrived.wait(seen, _PUT_RETRY_S)
 
-    async def _put_piece(self, version: StagedVersion, index: int) -> bool:
+    async def _stage_piece(self, version: StagedVersion, index: int) -> bool:
         data = version.read_chunk(index)
         async with self.pieces_lock:
             return await self._engine.stage_piece(
--- a/damaskcroft/agent/_weights_guard.py
+++ b/damaskcroft/agent/_weights_guard.py
@@ -83,7 +83,7 @@
             of the link; without measurements it returns False.
     """
 
-    __slots__ = ("_engine", "_held", "_link_is_quick", "_view", "_weights_s")
+    __slots__ = ("_engine", "_held", "_is_link_fast", "_view", "_weights_s")
 
     def __init__(
         self,
@@ -96,7 +96,7 @@
         self._view = view
         self._engine = engine
         self._weights_s = weights_s
-        self._link_is_quick = is_link_fast
+        self._is_link_fast = is_link_fast
         # Weights that the target held in its last report.
         self._held: tuple[fleet_pb2.HeldLayers, ...] = ()
 
@@ -138,7 +138,7 @@
             return False
         is_ready = staged_version > part.version
         if left_s > _DROP_BEFORE_QUICK_LINK_S and (
-            is_ready or self._link_is_quick()
+            is_ready or self._is_link_fast()
         ):
             return False
         return await self.drop_old_weights(report)
--- a/damaskcroft/fleet/_announcements.py
+++ b/damaskcroft/fleet/_announcements.py
@@ -71,22 +71,22 @@
 
 
 def record_invalid_announcement(
-    kind: str, target_id: str, unusable: InvalidAnnouncement
+    kind: str, target_id: str, invalid: InvalidAnnouncement
 ) -> None:
     """Counts and logs a rejected announcement.
 
     Args:
         kind: announcement, leave or report.
         target_id: id of the target that it names.
-        unusable: what is wrong with it.
+        invalid: what is wrong with it.
     """
-    metrics.INVALID_ANNOUNCEMENTS.labels(kind, unusable.reason).inc()
+    metrics.INVALID_ANNOUNCEMENTS.labels(kind, invalid.reason).inc()
     log_event(
         "word_unusable",
         kind=kind,
         id=target_id,
-        reason=unusable.reason,
-        detail=unusable.detail,
+        reason=invalid.reason,
+        detail=invalid.detail,
     )
 
 
--- a/damaskcroft/forwarding/_answer_times.py
+++ b/damaskcroft/forwarding/_answer_times.py
@@ -28,7 +28,7 @@
 
     def record(self, route: str, seconds: float) -> None:
         """Records the duration of an answer that has just been completed."""
-        self._forget_old()
+        self._evict_expired()
         self._since_by_route.setdefault(route, now_s() - seconds)
         if seconds > self._longest_by_route.get(route, 0.0):
             self._longest_by_route[route] = seconds
@@ -42,7 +42,7 @@
                 been observed for that long, because only quick answers can
                 have been recorded by then.
         """
-        self._forget_old()
+        self._evict_expired()
         since = self._since_by_route.get(route)
         if since is None or now_s() - since < timeout_s:
             return timeout_s
@@ -51,7 +51,7 @@
             self._earlier_by_route.get(route, 0.0),
         )
 
-    def _forget_old(self) -> None:
+    def _evict_expired(self) -> None:
         now = now_s()
         if now - self._began_at < _WINDOW_S:
             return
--- a/damaskcroft/forwarding/_gate.py
+++ b/damaskcroft/forwarding/_gate.py
@@ -187,9 +187,9 @@
         if call.deadline_s is not None:
             share_s = call.deadline_s * _FIRST_VIEW_SHARE
             until = min(until, call.arrived_at + share_s)
-        while not self._has_view() and now_s() < until:
+        while not self._has_received_state() and now_s() < until:
             await asyncio.sleep(_POLL_INTERVAL_S)
-        self._has_had_view = self._has_view()
+        self._has_had_view = self._has_received_state()
         waited_s = now_s() - began_at
         if waited_s >= _POLL_INTERVAL_S:
             log_event(
@@ -199,7 +199,7 @@
                 came=self._has_had_view,
             )
 
-    def _has_view(self) -> bool:
+    def _has_received_state(self) -> bool:
         has_targets = (
             next(iter(self._view.targets.address_holders()), None) is not None
         )
--- a/damaskcroft/hosted/control.py
+++ b/damaskcroft/hosted/control.py
@@ -59,7 +59,7 @@
 _MAX_SHUTDOWN_SHARE = 1 / 4
 
 
-def _notice_s(settings: NodeSettings) -> float:
+def _shutdown_notice_s(settings: NodeSettings) -> float:
     return min(
         settings.announce_every_s * _NOTICE_ANNOUNCE_INTERVALS,
         settings.bounds.grace_s * _MAX_NOTICE_SHARE,
@@ -135,7 +135,7 @@
         async with serve_http(
             settings.control_address,
             control_routes(control),
-            shutdown_notice_s=_notice_s(settings),
+            shutdown_notice_s=_shutdown_notice_s(settings),
             end_s=settings.bounds.grace_s * _MAX_SHUTDOWN_SHARE,
         ) as control_server:
             await replica.start()
--- a/damaskcroft/quarantine/_crash_detection.py
+++ b/damaskcroft/quarantine/_crash_detection.py
@@ -125,7 +125,7 @@
         crashed_at: Callable[[str], float | None] = lambda _: None,
     ):
         """Starts without any recorded loss."""
-        self._is_leaving = is_draining
+        self._is_draining = is_draining
         self._is_replaced = is_replaced
         self._on_crash = on_crash
         self._crashed_at = crashed_at
@@ -139,7 +139,7 @@
             had announced its end.
         """
         target = loss.target
-        if self._is_leaving(target):
+        if self._is_draining(target):
             return None
         start_id = self._start_id_reached(loss)
         possible_crash = self._possible_crashes_by_start.get(start_id)
@@ -198,7 +198,7 @@
             self._possible_crashes_by_start.items()
         ):
             is_expired = now_s() - possible_crash.since > _RESTART_WITHIN_S
-            if is_expired or self._is_leaving(possible_crash.target):
+            if is_expired or self._is_draining(possible_crash.target):
                 del self._possible_crashes_by_start[start_id]
                 continue
             is_announced = start_id == possible_crash.target.id
--- a/damaskcroft/routing/_placement.py
+++ b/damaskcroft/routing/_placement.py
@@ -146,11 +146,11 @@
             unread_bound: bound on unread prompts; by default one that follows
                 the time to first event.
         """
-        self._is_spared = is_deferred
-        self._is_due = is_probe_due
-        self._is_own = is_assigned
+        self._is_deferred = is_deferred
+        self._is_probe_due = is_probe_due
+        self._is_assigned = is_assigned
         self._unread_bound = unread_bound or UnreadBound()
-        self._takes_one = is_half_open
+        self._is_half_open = is_half_open
         self._answer_delay_s = answer_delay_s
         self._failure_domain = failure_domain
         self._region = region
@@ -170,10 +170,10 @@
     ) -> Placement | None:
         """Returns the best target, or None if every one is excluded.
 
-        Ejected targets come last, those without room before them, and spared
-        ones before those; a target that is due comes first. A target with a
-        suspect request under way is avoided: if it crashes, few other requests
-        are lost, and no second suspect request is among them.
+        Ejected targets come last, those without room before them, and deferred
+        ones before those; a target that is due for a probe comes first. A
+        target with a suspect request under way is avoided: if it crashes, few
+        other requests are lost, and no second suspect request is among them.
 
         Args:
             candidates: all targets that could run the request.
@@ -264,7 +264,7 @@
         self, candidate: Candidate, load: TargetLoad, prompt_tokens: int
     ) -> bool:
         """Whether a target that isn't full may receive a prompt now."""
-        if load.outstanding and self._takes_one(candidate.id):
+        if load.outstanding and self._is_half_open(candidate.id):
             return False
         if not load.unread_tokens:
             return True
@@ -283,10 +283,10 @@
         return (
             self._outliers.is_ejected(candidate.id),
             not has_room,
-            self._is_spared(candidate.id),
-            is_suspect or not self._is_due(candidate.id),
+            self._is_deferred(candidate.id),
+            is_suspect or not self._is_probe_due(candidate.id),
             load.suspects > 0,
-            is_suspect and not self._is_own(candidate.id),
+            is_suspect and not self._is_assigned(candidate.id),
             self._answer_delay_s(candidate.id) > _SLOW_ANSWER_S,
             # Rounded to tenths, so that distance decides between near equals.
             round(fullness, 1),
--- a/damaskcroft/routing/_pools.py
+++ b/damaskcroft/routing/_pools.py
@@ -49,7 +49,7 @@
         self._roster = roster
         self._pools_by_name: dict[str, Pool] = {}
         self._announced_services: set[str] = set()
-        self._models_on_record: set[str] = set()
+        self._deployed_models: set[str] = set()
         self._names_revision = 0
 
     async def run(self) -> None:
@@ -72,7 +72,7 @@
         if name in self._pools_by_name or name in self._announced_services:
             return True
         model = name.split(":", 1)[0]
-        if model in self._models_on_record:
+        if model in self._deployed_models:
             return True
         return any(
             assignment.model == model
@@ -131,7 +131,7 @@
             for holder in self._roster.holders_by_id.values()
             if holder.service
         }
-        self._models_on_record = deployed_models(
+        self._deployed_models = deployed_models(
             self._roster.records_by_key.values()
         )
 
