--- a/damaskcroft/agent/_fleet_stager.py
+++ b/damaskcroft/agent/_fleet_stager.py
@@ -209,7 +209,7 @@
             if data is not None and hashlib.sha256(data).digest() == digest:
                 continue
             log_event("staged_piece_spoilt", index=index, lost=data is None)
-            if not await self._put_piece(version, index):
+            if not await self._stage_piece(version, index):
                 return False
         self._checked_at = now_s()
         return True
@@ -230,7 +230,7 @@
         self._must_restage = self.staged is not None
         self.staged = None
         # This wakes `run`.
-        self._view.desired_changed.give()
+        self._view.desired_changed.notify()
 
     def _report_chosen(self, chosen: ModelVersion | None) -> None:
         """Logs and exports a changed version to stage, including none."""
@@ -294,7 +294,7 @@
         fetch a version.
         """
         address = self._own.state.target_address
-        while any(s.address == address for s in self._view.book.words()):
+        while any(s.address == address for s in self._view.targets.snapshot()):
             if await self._is_target_up():
                 return
             await asyncio.sleep(_RETRY_S)
@@ -431,7 +431,7 @@
             ]
             put = self._put_indexes
             for index in arrived:
-                if await self._put_piece(version, index):
+                if await self._stage_piece(version, index):
                     put.add(index)
                 else:
                     await asyncio.sleep(_RETRY_S)
@@ -439,7 +439,7 @@
                 return
             await version.arrived.wait(seen, _PUT_RETRY_S)
 
-    async def _put_piece(self, version: StagedVersion, index: int) -> bool:
+    async def _stage_piece(self, version: StagedVersion, index: int) -> bool:
         data = version.read_chunk(index)
         async with self.pieces_lock:
             return await self._engine.stage_piece(
@@ -465,7 +465,9 @@
         origin is lost.
         """
         peers = self._own.peers()
-        addresses = {state.address for state in self._view.book.believed()}
+        addresses = {
+            state.address for state in self._view.targets.address_holders()
+        }
         return [p for p in peers if p.target_address in addresses] or peers
 
     def _plan(self, burst: Burst) -> None:
--- a/damaskcroft/forwarding/_gate.py
+++ b/damaskcroft/forwarding/_gate.py
@@ -133,7 +133,7 @@
 
     def limits(self) -> CallerLimits:
         """Limits for callers in the configuration in force."""
-        table = self._view.table
+        table = self._view.route_table
         if table is not None and self._limits_version != table.version:
             self._limits = _limits_of(table.limits)
             self._limits_version = table.version
@@ -187,9 +187,9 @@
         if call.deadline_s is not None:
             share_s = call.deadline_s * _FIRST_VIEW_SHARE
             until = min(until, call.arrived_at + share_s)
-        while not self._has_view() and now_s() < until:
+        while not self._has_received_state() and now_s() < until:
             await asyncio.sleep(_POLL_INTERVAL_S)
-        self._has_had_view = self._has_view()
+        self._has_had_view = self._has_received_state()
         waited_s = now_s() - began_at
         if waited_s >= _POLL_INTERVAL_S:
             log_event(
@@ -199,12 +199,14 @@
                 came=self._has_had_view,
             )
 
-    def _has_view(self) -> bool:
-        has_targets = next(iter(self._view.book.believed()), None) is not None
-        return self._view.table is not None and has_targets
+    def _has_received_state(self) -> bool:
+        has_targets = (
+            next(iter(self._view.targets.address_holders()), None) is not None
+        )
+        return self._view.route_table is not None and has_targets
 
     def _admit(self, call: Call) -> Job | Refused:
-        table = self._view.table
+        table = self._view.route_table
         if table is None:
             return Refused("no_configuration", Ran.NO)
         route = table.route(call.host, call.path)
