--- a/damaskcroft/agent/_target_limit.py
+++ b/damaskcroft/agent/_target_limit.py
@@ -34,7 +34,7 @@
             start: number of the target's start that gave the answer.
             sent_at: loop time at which the request was sent.
         """
-        self._limits.answered(str(start), header, sent_at)
+        self._limits.record_answer(str(start), header, sent_at)
 
     def wait_s(self) -> float:
         """Returns the time until a request may be sent; 0 for now."""
@@ -42,4 +42,4 @@
 
     def consume_token(self) -> None:
         """Consumes a token for a request that is about to be sent."""
-        self._limits.sending(str(self._target.start))
+        self._limits.consume_token(str(self._target.start))
--- a/damaskcroft/entry/_dispatch.py
+++ b/damaskcroft/entry/_dispatch.py
@@ -334,7 +334,7 @@
                     # The target answers, so that the attempt is not abandoned
                     # any more.
                     may_abandon = _never_abandon
-                    self._chooser.told(target.id, event.outstanding)
+                    self._chooser.record_load(target.id, event.outstanding)
                     watched.record_event(event)
                     yield event
         except TimeoutError:
--- a/damaskcroft/experiments/_entry.py
+++ b/damaskcroft/experiments/_entry.py
@@ -119,7 +119,7 @@
         self._placer.record_first_answer(
             first_event_s, ticket.latency_objective_s
         )
-        self._placer.told(granted.candidate.id, load)
+        self._placer.record_load(granted.candidate.id, load)
         if granted.slot.read():
             self._queue.serve()
         first_s = now_s() - ticket.arrived_at
--- a/damaskcroft/experiments/_policies.py
+++ b/damaskcroft/experiments/_policies.py
@@ -58,7 +58,7 @@
 class _NoAdaptiveBound(UnreadBound):
     """Leaves the bound on unread prompts at its maximum."""
 
-    def note(self, took_s: float, latency_objective_s: float) -> None:
+    def record(self, took_s: float, latency_objective_s: float) -> None:
         """Ignores measured times, so that the bound does not follow them."""
 
 
--- a/damaskcroft/forwarding/_allocator.py
+++ b/damaskcroft/forwarding/_allocator.py
@@ -187,7 +187,7 @@
         self, candidate: Candidate, prompt_tokens: int, *, is_suspect: bool
     ) -> Slot:
         """Takes a slot at a target for a request that is about to be sent."""
-        self._limits.sending(candidate.id)
+        self._limits.consume_token(candidate.id)
         return self._placer.take(
             candidate, prompt_tokens, is_suspect=is_suspect
         )
--- a/damaskcroft/forwarding/_forwarder.py
+++ b/damaskcroft/forwarding/_forwarder.py
@@ -345,7 +345,7 @@
                 place,
                 job.call,
                 passing,
-                lambda: self._silence.heard(target.id),
+                lambda: self._silence.record_data(target.id),
                 lambda connect_s: self._why_not_send(
                     job, progress, target, allocated_at, connect_s, hedge
                 ),
@@ -503,13 +503,13 @@
         # process.
         is_limit_known = facts.sealed or isinstance(facts.limit, Named)
         if is_limit_known and not facts.misdirected:
-            self._limits.answered(target.id, facts.limit, sent_at)
+            self._limits.record_answer(target.id, facts.limit, sent_at)
         if facts.leaving:
-            self._back_pressure.leaving(target.id)
+            self._back_pressure.start_draining(target.id)
         if facts.rest_s:
-            self._back_pressure.rest(target.id, facts.rest_s)
+            self._back_pressure.start_back_off(target.id, facts.rest_s)
         elif not facts.not_run:
-            self._back_pressure.answered(target.id)
+            self._back_pressure.record_accepted(target.id)
         if facts.load is not None:
             requests = facts.load.running + facts.load.waiting
-            self._placer.told(target.id, requests)
+            self._placer.record_load(target.id, requests)
--- a/damaskcroft/forwarding/tests/test_forwarding.py
+++ b/damaskcroft/forwarding/tests/test_forwarding.py
@@ -454,7 +454,7 @@
             entry.view.merge([started(target, 1000)])
             (before,) = entry.candidates()
             assert before.target_id == "a"
-            entry.placer.told(before.id, 9)
+            entry.placer.record_load(before.id, 9)
             slot = entry.placer.take(before, 500)
             assert entry.placer.fullness(before) > 2
             entry.view.merge([started(target, 2000)])
--- a/damaskcroft/limits/_rate_limits.py
+++ b/damaskcroft/limits/_rate_limits.py
@@ -79,7 +79,7 @@
         """Whether any target has a rate limit; a constant-time check."""
         return self._registry.is_active
 
-    def answered(
+    def record_answer(
         self, start_id: str, header: LimitHeader, sent_at: float
     ) -> None:
         """Records the rate limit in an answer's header.
@@ -133,7 +133,7 @@
             return False
         return not self.is_deferred(start_id)
 
-    def sending(self, start_id: str) -> None:
+    def consume_token(self, start_id: str) -> None:
         """Takes a token for a request that is about to be sent."""
         share = self._current_share(start_id)
         if share is None:
@@ -159,7 +159,7 @@
             return True
         if self.time_to_send_s(start_id) > 0:
             return False
-        self.sending(start_id)
+        self.consume_token(start_id)
         return True
 
     def retain_only(self, start_ids: Iterable[str]) -> None:
--- a/damaskcroft/limits/tests/test_rate_limits.py
+++ b/damaskcroft/limits/tests/test_rate_limits.py
@@ -19,7 +19,7 @@
         )
 
     def announce(self, rate_s, start="t@1"):
-        self.limits.answered(start, Named(rate_s), 0.0)
+        self.limits.record_answer(start, Named(rate_s), 0.0)
 
     async def sent_in(self, seconds, start="t@1"):
         """Returns how many requests are sent while some always wait."""
@@ -27,7 +27,7 @@
         for _ in range(int(seconds * 50)):
             await asyncio.sleep(0.02)
             if not self.limits.time_to_send_s(start):
-                self.limits.sending(start)
+                self.limits.consume_token(start)
                 sent += 1
         return sent
 
@@ -107,7 +107,7 @@
     async def scenario():
         entry.announce(2.0)
         assert not entry.limits.is_deferred("t@1")
-        entry.limits.sending("t@1")
+        entry.limits.consume_token("t@1")
         assert entry.limits.is_deferred("t@1")
         await asyncio.sleep(3)
         assert not entry.limits.is_deferred("t@1")
@@ -123,7 +123,7 @@
         entry.announce(2.0)
         assert entry.limits.is_probe_due("t@1")
         assert not entry.limits.is_probe_due("t@2")
-        entry.limits.sending("t@1")
+        entry.limits.consume_token("t@1")
         assert not entry.limits.is_probe_due("t@1")
         await asyncio.sleep(3)
         assert entry.limits.is_probe_due("t@1")
@@ -135,7 +135,7 @@
     async def scenario():
         entry.announce(2.0)
         await entry.sent_in(2)
-        entry.limits.answered("t@1", Unnamed(), 1.0)
+        entry.limits.record_answer("t@1", Unnamed(), 1.0)
         counts = [await entry.sent_in(0.5) for _ in range(4)]
         assert counts[0] <= 2
         assert counts == sorted(counts)
--- a/damaskcroft/routing/_back_pressure.py
+++ b/damaskcroft/routing/_back_pressure.py
@@ -44,7 +44,7 @@
         """Whether any target has asked for back-off or drains; O(1)."""
         return bool(self._back_off_until or self._draining_since)
 
-    def rest(self, target_id: str, for_s: float) -> None:
+    def start_back_off(self, target_id: str, for_s: float) -> None:
         """Records that a target refused a request and asked for a back-off."""
         until = now_s() + min(for_s, _MAX_BACK_OFF_S)
         previous_until = self._back_off_until.get(target_id, -math.inf)
@@ -54,7 +54,7 @@
             metrics.TARGETS_AVOIDED.labels("rest").inc()
             log_event("target_rests", target=target_id, for_s=for_s)
 
-    def leaving(self, target_id: str) -> None:
+    def start_draining(self, target_id: str) -> None:
         """Records that a target announced that it drains."""
         if target_id in self._draining_since:
             return
@@ -62,7 +62,7 @@
         metrics.TARGETS_AVOIDED.labels("leaving").inc()
         log_event("target_says_leaving", target=target_id)
 
-    def answered(self, target_id: str) -> None:
+    def record_accepted(self, target_id: str) -> None:
         """Records an accepted request, which ends the half-open state."""
         if self.back_off_left_s(target_id) <= 0:
             self._half_open_ids.discard(target_id)
--- a/damaskcroft/routing/_choice.py
+++ b/damaskcroft/routing/_choice.py
@@ -92,7 +92,7 @@
         """Stops counting a request that has ended."""
         self._outstanding_by_id[target_id] -= 1
 
-    def told(self, target_id: str, outstanding: int) -> None:
+    def record_load(self, target_id: str, outstanding: int) -> None:
         """Records the load in a reply, less this entry's current requests.
 
         The record stays until the next reply, while the load of others changes.
--- a/damaskcroft/routing/_first_answers.py
+++ b/damaskcroft/routing/_first_answers.py
@@ -41,7 +41,7 @@
         """Starts without answers."""
         self._answers_by_service: dict[str, _ServiceAnswers] = {}
 
-    def note(self, service: str, took_s: float) -> None:
+    def record(self, service: str, took_s: float) -> None:
         """Records the time that a target has just needed.
 
         Args:
--- a/damaskcroft/routing/_placement.py
+++ b/damaskcroft/routing/_placement.py
@@ -249,10 +249,10 @@
     def record_first_answer(
         self, took_s: float, latency_objective_s: float
     ) -> None:
-        """Records the time to first event, as described in UnreadBound.note."""
-        self._unread_bound.note(took_s, latency_objective_s)
+        """Records the time to first event; see `UnreadBound.record`."""
+        self._unread_bound.record(took_s, latency_objective_s)
 
-    def told(self, target_id: str, requests: int) -> None:
+    def record_load(self, target_id: str, requests: int) -> None:
         """Records the number of requests that a target reports."""
         self._loads.record_report(target_id, requests)
 
--- a/damaskcroft/routing/_queue.py
+++ b/damaskcroft/routing/_queue.py
@@ -126,7 +126,7 @@
         be late would go first: the more of them there are, the later the
         answers of all are.
         """
-        self._first_answers.note(service, took_s)
+        self._first_answers.record(service, took_s)
 
     async def take_slot(self, ticket: QueueTicket) -> SlotTaken | Overloaded:
         """Takes a slot, at once if one is free and no request waits."""
--- a/damaskcroft/routing/_silence.py
+++ b/damaskcroft/routing/_silence.py
@@ -59,7 +59,7 @@
         if not activity.outstanding:
             del self._activity_by_id[target_id]
 
-    def heard(self, target_id: str) -> None:
+    def record_data(self, target_id: str) -> None:
         """Records that data was received from a target."""
         activity = self._activity_by_id.get(target_id)
         if activity is not None:
--- a/damaskcroft/routing/_unread_bound.py
+++ b/damaskcroft/routing/_unread_bound.py
@@ -47,7 +47,7 @@
         self._objective_shares: list[float] = []
         self._changed_at = 0.0
 
-    def note(self, took_s: float, latency_objective_s: float) -> None:
+    def record(self, took_s: float, latency_objective_s: float) -> None:
         """Records how long an engine needed to begin an answer.
 
         Args:
--- a/damaskcroft/routing/tests/test_placement.py
+++ b/damaskcroft/routing/tests/test_placement.py
@@ -26,7 +26,7 @@
     async def scenario():
         placer = make_placer()
         placer.take(candidate("a"))
-        placer.told("a", 10)
+        placer.record_load("a", 10)
         await asyncio.sleep(0.7)
         assert placer.fullness(candidate("a")) == 1.0
         await asyncio.sleep(0.55)
@@ -56,8 +56,8 @@
         with_report = [candidate(f"t{n}") for n in range(3)]
         without_report = candidate("u")
         for target in with_report:
-            placer.told(target.id, 6)
-        placer.told(with_report[0].id, 4)
+            placer.record_load(target.id, 6)
+        placer.record_load(with_report[0].id, 4)
         assert (
             placer.choose([*with_report, without_report], ()).candidate
             is with_report[0]
@@ -72,7 +72,7 @@
         with_report = [candidate(f"t{n}") for n in range(3)]
         without_report = candidate("u")
         for target in with_report:
-            placer.told(target.id, 15)
+            placer.record_load(target.id, 15)
         chosen = placer.choose([*with_report, without_report], ())
         assert chosen.candidate is without_report
         assert chosen.has_room
@@ -116,7 +116,7 @@
         placer = Placer(
             "d", "r", Outliers(), is_assigned=lambda id_: id_ == "own"
         )
-        placer.told("own", 10)
+        placer.record_load("own", 10)
         chosen = placer.choose([own, other], (), is_suspect=True)
         assert chosen.candidate is other
 
--- a/damaskcroft/routing/tests/test_silence.py
+++ b/damaskcroft/routing/tests/test_silence.py
@@ -21,7 +21,7 @@
     for _ in range(round(seconds / POLL_INTERVAL_S)):
         await asyncio.sleep(POLL_INTERVAL_S)
         for target_id in sending:
-            watch.heard(target_id)
+            watch.record_data(target_id)
         silent = watch.silent_ids()
     return silent
 
--- a/damaskcroft/routing/tests/test_unread_bound.py
+++ b/damaskcroft/routing/tests/test_unread_bound.py
@@ -18,7 +18,7 @@
     """Records twenty answers a second with the same time to first event."""
     for _ in range(int(20 * seconds)):
         await asyncio.sleep(0.05)
-        bound.note(took_s, OBJECTIVE_S)
+        bound.record(took_s, OBJECTIVE_S)
 
 
 def test_bound_falls_while_answers_begin_late_and_rises_again(loop, bound):
@@ -49,7 +49,7 @@
     async def scenario():
         highest = bound.share
         for _ in range(20):
-            bound.note(5.0, OBJECTIVE_S)
+            bound.record(5.0, OBJECTIVE_S)
             await record_answers(bound, 0.1, 0.3)
         assert bound.share == highest
 
@@ -62,7 +62,7 @@
     async def scenario():
         for _ in range(100):
             await asyncio.sleep(0.05)
-            bound.note(5.0, 0.0)
+            bound.record(5.0, 0.0)
         assert bound.share == UnreadBound().share
 
     loop.run(scenario())
