--- a/damaskcroft/agent/_chunks.py
+++ b/damaskcroft/agent/_chunks.py
@@ -68,7 +68,9 @@
         if index is None:
             await self._send_outcome(stream, agent_pb2.CHUNK_UNKNOWN_MANIFEST)
             return
-        version.holdings.note(request.requester, request.held, request.known)
+        version.holdings.add_report(
+            request.requester, request.held, request.known
+        )
         wait_s = min(request.wait_ms / 1000, _MAX_WAIT_S)
         if not await version.wait_for_chunk(index, wait_s):
             await self._send_outcome(stream, agent_pb2.CHUNK_NOT_HELD, version)
@@ -90,11 +92,11 @@
         version = self._store.versions_by_digest.get(rumour.manifest)
         if version is None:
             return agent_pb2.Rumour(manifest=rumour.manifest)
-        version.holdings.note(rumour.teller, rumour.held, rumour.known)
+        version.holdings.add_report(rumour.teller, rumour.held, rumour.known)
         return agent_pb2.Rumour(
             manifest=rumour.manifest,
             held=packed(version.held),
-            known=version.holdings.known(),
+            known=version.holdings.known_bits(),
         )
 
     def manifest(self, digest: str, path: str = "") -> bytes:
@@ -139,7 +141,7 @@
                 outcome=agent_pb2.CHUNK_READY,
                 parts=len(starts),
                 held=packed(version.held),
-                known=version.holdings.known(),
+                known=version.holdings.known_bits(),
             )
         )
         for start in starts:
@@ -149,7 +151,9 @@
                 # The request for the first part carries no queueing delay,
                 # because no earlier part has been sent.
                 if self._rate is not None and ask is not None and start:
-                    self._rate.heard(receiver, ask.queued_ms / 1000)
+                    self._rate.record_queueing_delay(
+                        receiver, ask.queued_ms / 1000
+                    )
                 part = data[start : start + part_bytes]
                 await self._pacer.pass_bytes(len(part))
                 await stream.send_message(
@@ -171,5 +175,5 @@
         part = agent_pb2.ChunkPart(outcome=outcome)
         if version is not None:
             part.held = packed(version.held)
-            part.known = version.holdings.known()
+            part.known = version.holdings.known_bits()
         await stream.send_message(part)
--- a/damaskcroft/entry/_suspects.py
+++ b/damaskcroft/entry/_suspects.py
@@ -127,7 +127,7 @@
         suspect = quarantine_pb2.Suspect(
             fingerprint=self.fingerprint,
             chain=self._chain,
-            answered=self._suspects.recent_answers.has(self.fingerprint),
+            answered=self._suspects.recent_answers.contains(self.fingerprint),
         )
         self._suspects.crash_registry.merge(
             quarantine_pb2.TargetCrash(
@@ -141,7 +141,7 @@
         if is_failure:
             return
         if len(self.call.body) <= MAX_RECORDED_BODY_BYTES:
-            self._suspects.recent_answers.note(self.fingerprint)
+            self._suspects.recent_answers.record(self.fingerprint)
         if not self._suspects.crash_registry.has_suspects:
             return
         if not self._suspects.crash_registry.clear(self.fingerprint):
--- a/damaskcroft/forwarding/_suspects.py
+++ b/damaskcroft/forwarding/_suspects.py
@@ -96,7 +96,7 @@
 
     def check_crashes(self) -> None:
         """Checks for crashes that are detected late; to be called often."""
-        self._watch.look()
+        self._watch.check_replacements()
 
     def quarantined_s(self, job: Job, progress: Progress) -> float:
         """Seconds for which a request remains refused; 0 if it is not."""
@@ -178,14 +178,14 @@
             return
         was_suspect = self.is_suspect(job, progress)
         progress.chain += 1
-        verdict = self._watch.lost(
+        verdict = self._watch.record_loss(
             LostRequest(
                 target,
                 job.service,
                 _fingerprint(job, progress),
                 job.call.request_id,
                 progress.chain,
-                self._recent_answers.has(_fingerprint(job, progress)),
+                self._recent_answers.contains(_fingerprint(job, progress)),
                 connecting_at,
             )
         )
@@ -213,7 +213,7 @@
         before it reached the part that crashes.
         """
         if len(job.call.body) <= MAX_RECORDED_BODY_BYTES:
-            self._recent_answers.note(_fingerprint(job, progress))
+            self._recent_answers.record(_fingerprint(job, progress))
         if not self.is_suspect(job, progress):
             return
         fingerprint = _fingerprint(job, progress)
--- a/damaskcroft/quarantine/_crash_detection.py
+++ b/damaskcroft/quarantine/_crash_detection.py
@@ -131,7 +131,9 @@
         self._crashed_at = crashed_at
         self._possible_crashes_by_start: dict[str, _PossibleCrash[_StartT]] = {}
 
-    def lost(self, loss: LostRequest[_StartT]) -> asyncio.Task[None] | None:
+    def record_loss(
+        self, loss: LostRequest[_StartT]
+    ) -> asyncio.Task[None] | None:
         """Records a lost request and checks the address of its target.
 
         Returns:
@@ -192,7 +194,7 @@
         possible_crash = self._possible_crashes_by_start.get(target.id)
         return possible_crash is not None and possible_crash.is_crash
 
-    def look(self) -> None:
+    def check_replacements(self) -> None:
         """Checks for replaced starts; to be called frequently."""
         for start_id, possible_crash in list(
             self._possible_crashes_by_start.items()
--- a/damaskcroft/quarantine/_recent_answers.py
+++ b/damaskcroft/quarantine/_recent_answers.py
@@ -33,14 +33,14 @@
             collections.OrderedDict()
         )
 
-    def note(self, fingerprint: bytes) -> None:
+    def record(self, fingerprint: bytes) -> None:
         """Records a complete answer that is not a failure."""
         self._answered_at[fingerprint] = now_s()
         self._answered_at.move_to_end(fingerprint)
         if len(self._answered_at) > _MAX_ENTRIES:
             self._answered_at.popitem(last=False)
 
-    def has(self, fingerprint: bytes) -> bool:
+    def contains(self, fingerprint: bytes) -> bool:
         """Whether a request was answered shortly before."""
         at = self._answered_at.get(fingerprint)
         return at is not None and now_s() - at < _RETENTION_S
--- a/damaskcroft/quarantine/tests/crash_simulation.py
+++ b/damaskcroft/quarantine/tests/crash_simulation.py
@@ -127,7 +127,7 @@
             del self._running[target][name, number]
             self.served += 1
             if self._records_answers:
-                self._recent_answers.note(name)
+                self._recent_answers.record(name)
             self._registry.clear(name)
 
     def _send_poison(self, every_s):
@@ -161,7 +161,7 @@
             quarantine_pb2.Suspect(
                 fingerprint=name,
                 chain=chain + 1,
-                answered=self._recent_answers.has(name),
+                answered=self._recent_answers.contains(name),
             )
             for (name, _), chain in sorted(lost.items())
         ]
--- a/damaskcroft/quarantine/tests/fleet_simulation.py
+++ b/damaskcroft/quarantine/tests/fleet_simulation.py
@@ -117,7 +117,7 @@
     async def check_forever(self):
         while True:
             await asyncio.sleep(_CHECK_EVERY_S)
-            self._watch.look()
+            self._watch.check_replacements()
 
     async def ask(self, request):
         """Sends a request, and sends it again after a loss, until it ends.
@@ -166,17 +166,17 @@
         return self.registry.few_left("s", (c.id for c in self.known.values()))
 
     def _answered(self, request):
-        self._recent.note(request)
+        self._recent.record(request)
         for crash in self.registry.clear(request, "s"):
             self._publish(crash)
 
     async def _lost(self, target, request, chain):
         was_suspect = self.registry.is_suspect(request)
-        answered = self._recent.has(request)
+        answered = self._recent.contains(request)
         loss = LostRequest(
             target, "s", request, request.decode(), chain, answered
         )
-        check_task = self._watch.lost(loss)
+        check_task = self._watch.record_loss(loss)
         if check_task is None:
             return
         if was_suspect:
--- a/damaskcroft/quarantine/tests/test_crash_detection.py
+++ b/damaskcroft/quarantine/tests/test_crash_detection.py
@@ -29,7 +29,7 @@
         loss = LostRequest(
             target, "s", name, "r-1", connecting_at=connecting_at
         )
-        check_task = self.watch.lost(loss)
+        check_task = self.watch.record_loss(loss)
         if check_task is not None:
             await check_task
 
@@ -77,7 +77,7 @@
     async def scenario():
         async with listening_address() as (address, _):
             await detector.lost(address)
-            detector.watch.look()
+            detector.watch.check_replacements()
             assert detector.crashes == []
 
     asyncio.run(scenario())
@@ -108,7 +108,7 @@
     async def scenario():
         detector.leaving.add("t@1")
         await detector.lost(await unused_address())
-        detector.watch.look()
+        detector.watch.check_replacements()
         assert detector.crashes == []
 
     asyncio.run(scenario())
@@ -119,8 +119,8 @@
         async with listening_address() as (address, _):
             await detector.lost(address)
             detector.replaced.add("t@1")
-            detector.watch.look()
-            detector.watch.look()
+            detector.watch.check_replacements()
+            detector.watch.check_replacements()
             assert len(detector.crashes) == 1
 
     asyncio.run(scenario())
@@ -154,7 +154,7 @@
         await detector.lost(address, connecting_at=connecting_at)
         assert [c.start_id for c in detector.crashes] == start_ids
         detector.replaced.add("t@1")
-        detector.watch.look()
+        detector.watch.check_replacements()
         assert [c.start_id for c in detector.crashes] == start_ids
 
     asyncio.run(scenario())
--- a/damaskcroft/quarantine/tests/test_crash_registry.py
+++ b/damaskcroft/quarantine/tests/test_crash_registry.py
@@ -376,11 +376,11 @@
     async def scenario():
         answers = RecentAnswers()
         for n in range(10_000):
-            answers.note(b"%d" % n)
-        assert not answers.has(b"0")
-        assert answers.has(b"9999")
+            answers.record(b"%d" % n)
+        assert not answers.contains(b"0")
+        assert answers.contains(b"9999")
         await asyncio.sleep(_HOUR_S)
-        assert not answers.has(b"9999")
+        assert not answers.contains(b"9999")
 
     loop.run(scenario())
 
--- a/damaskcroft/weights/_fetcher.py
+++ b/damaskcroft/weights/_fetcher.py
@@ -142,7 +142,7 @@
             wait_ms=int(wait_s * 1000),
             requester=self._own_id,
             held=packed(version.held),
-            known=version.holdings.known(),
+            known=version.holdings.known_bits(),
         )
 
         def should_abandon() -> bool:
@@ -161,10 +161,10 @@
         match outcome:
             case PeerData(data=data, held=held, known=known):
                 self._suspects.clear(peer.id)
-                version.holdings.note(peer.id, held, known)
+                version.holdings.add_report(peer.id, held, known)
                 self._store_chunk(index, data, "peer", peer.id)
             case PeerChunkMissing(held=held, known=known):
-                version.holdings.note(peer.id, held, known)
+                version.holdings.add_report(peer.id, held, known)
                 await asyncio.sleep(_MIN_PAUSE_S)
             case PeerNotInBurst():
                 await asyncio.sleep(_MIN_PAUSE_S)
--- a/damaskcroft/weights/_gossip.py
+++ b/damaskcroft/weights/_gossip.py
@@ -68,8 +68,8 @@
             manifest=self._version.digest,
             teller=self._own_id,
             held=packed(self._version.held),
-            known=holdings.known(),
+            known=holdings.known_bits(),
         )
         reply = await self._peers.exchange(address, rumour)
         if reply is not None:
-            holdings.note(agent_id, reply.held, reply.known)
+            holdings.add_report(agent_id, reply.held, reply.known)
--- a/damaskcroft/weights/_holdings.py
+++ b/damaskcroft/weights/_holdings.py
@@ -44,11 +44,13 @@
         """How many chunks any other agent is known to hold."""
         return self._known_bits.bit_count()
 
-    def known(self) -> bytes:
+    def known_bits(self) -> bytes:
         """One bit for each chunk that any agent is known to hold."""
         return _as_bytes(self._known_bits)
 
-    def note(self, agent_id: str, held: bytes, known: bytes = b"") -> None:
+    def add_report(
+        self, agent_id: str, held: bytes, known: bytes = b""
+    ) -> None:
         """Adds an agent's report; chunks that it held before stay held.
 
         Args:
--- a/damaskcroft/weights/_upload_rate.py
+++ b/damaskcroft/weights/_upload_rate.py
@@ -39,7 +39,7 @@
         self._decreased_at = float("-inf")
         self._reports_by_receiver: dict[str, tuple[float, float]] = {}
 
-    def heard(self, receiver: str, queued_s: float) -> None:
+    def record_queueing_delay(self, receiver: str, queued_s: float) -> None:
         """Adjusts the rate to one receiver's report on its last part.
 
         Args:
--- a/damaskcroft/weights/tests/test_burst.py
+++ b/damaskcroft/weights/tests/test_burst.py
@@ -103,7 +103,7 @@
         version = self.versions_by_id.get(address)
         if version is None:
             return PeerNotInBurst()
-        version.holdings.note(request.requester, request.held)
+        version.holdings.add_report(request.requester, request.held)
         if address in self.slow:
             await asyncio.sleep(8.0)
         index = version.index_by_digest[request.digest]
--- a/damaskcroft/weights/tests/test_peer_selection.py
+++ b/damaskcroft/weights/tests/test_peer_selection.py
@@ -31,10 +31,10 @@
 
 
 def test_request_to_another_domain_moves_to_a_neighbour(selector, holdings):
-    holdings.note(FAR, ALL, b"")
+    holdings.add_report(FAR, ALL, b"")
     with selector.open_request(FAR):
         assert not selector.has_better_source(CHUNK, FAR, ())
-        holdings.note(NEAR, ALL, b"")
+        holdings.add_report(NEAR, ALL, b"")
         assert selector.has_better_source(CHUNK, FAR, ())
         assert not selector.has_better_source(CHUNK, FAR, (NEAR,))
 
@@ -43,14 +43,14 @@
     selector, holdings
 ):
     """Guards against requests that alternate between two neighbours."""
-    holdings.note(NEAR, ALL, b"")
-    holdings.note(ALSO_NEAR, ALL, b"")
+    holdings.add_report(NEAR, ALL, b"")
+    holdings.add_report(ALSO_NEAR, ALL, b"")
     with selector.open_request(NEAR):
         assert not selector.has_better_source(CHUNK, NEAR, ())
 
 
 def test_request_moves_to_a_neighbour_with_fewer_requests(selector, holdings):
-    holdings.note(NEAR, ALL, b"")
-    holdings.note(ALSO_NEAR, ALL, b"")
+    holdings.add_report(NEAR, ALL, b"")
+    holdings.add_report(ALSO_NEAR, ALL, b"")
     with selector.open_request(NEAR), selector.open_request(NEAR):
         assert selector.has_better_source(CHUNK, NEAR, ())
--- a/damaskcroft/weights/tests/test_upload_rate.py
+++ b/damaskcroft/weights/tests/test_upload_rate.py
@@ -57,7 +57,9 @@
             )
             sent += PART_BYTES
             queues_s.append(free_at - now)
-            loop.call_later(free_at - now, rate.heard, "r", free_at - now)
+            loop.call_later(
+                free_at - now, rate.record_queueing_delay, "r", free_at - now
+            )
         return sent, queues_s
 
     return loop.run(scenario())
@@ -78,8 +80,8 @@
         rate = UploadRate(pacer)
         for _ in range(100):
             await asyncio.sleep(0.02)
-            rate.heard("narrow", 0.9)
-            rate.heard("sound", 0.01)
+            rate.record_queueing_delay("narrow", 0.9)
+            rate.record_queueing_delay("sound", 0.01)
         assert pacer.share == 1.0
 
     loop.run(scenario())
