--- a/damaskcroft/forwarding/_gate.py
+++ b/damaskcroft/forwarding/_gate.py
@@ -273,7 +273,7 @@
             retry_after_s=wait_s,
         )
         headers = self._wire.refusal_headers(request_id, wait_s)
-        await answer.give(status, headers, b"")
+        await answer.send_whole(status, headers, b"")
 
 
 def _status(refused: Refused) -> int:
--- a/damaskcroft/forwarding/_relay.py
+++ b/damaskcroft/forwarding/_relay.py
@@ -109,14 +109,14 @@
         dispatch.hedge.take_over()
         headers = self._wire.answer_headers(head)
         if complete:
-            await answer.give(head.status, headers, body)
+            await answer.send_whole(head.status, headers, body)
             return Delivered(head.status)
         dispatch.progress.begun = dispatch.progress.is_bound_to_target = True
-        await answer.begin(head.status, headers)
-        await answer.part(body)
+        await answer.send_head(head.status, headers)
+        await answer.send_part(body)
         try:
             while part := await attempt.read_part():
-                await answer.part(part)
+                await answer.send_part(part)
         except CutShortError as error:
             return interrupted_ending(attempt.lost(f"cut_short: {error}"))
         await answer.end()
@@ -141,7 +141,7 @@
                     if event.id is not None:
                         progress.last_event_id = event.id
                     progress.events += 1
-                    await answer.part(event.data)
+                    await answer.send_part(event.data)
                     self._record_output(dispatch)
         except (CutShortError, ValueError) as error:
             return dispatch.attempt.lost(f"stream_cut: {error}")
@@ -157,7 +157,7 @@
             return
         dispatch.progress.begun = True
         headers = self._wire.answer_headers(head)
-        await dispatch.answer.begin(head.status, headers)
+        await dispatch.answer.send_head(head.status, headers)
 
     def _record_output(self, dispatch: Dispatch) -> None:
         if dispatch.progress.pace.first_s is None:
--- a/damaskcroft/http1/_exchange.py
+++ b/damaskcroft/http1/_exchange.py
@@ -84,7 +84,9 @@
         """Whether the connection is closed after this answer."""
         return self._closing()
 
-    async def give(self, status: int, headers: Headers, body: bytes) -> None:
+    async def send_whole(
+        self, status: int, headers: Headers, body: bytes
+    ) -> None:
         """Sends a complete answer, without waiting until the caller reads it.
 
         Raises:
@@ -98,12 +100,12 @@
         self.ended = True
         self._channel.write(data)
 
-    async def begin(self, status: int, headers: Headers) -> None:
+    async def send_head(self, status: int, headers: Headers) -> None:
         """Sends the head of an answer whose length is unknown."""
         self._channel.write(self._head(status, headers))
 
-    async def part(self, body: bytes) -> None:
-        """Sends some bytes of the body, after `begin`."""
+    async def send_part(self, body: bytes) -> None:
+        """Sends some bytes of the body, after `send_head`."""
         self._channel.write(self._parser.send(h11.Data(data=body)) or b"")
         await self._channel.drain()
 
--- a/damaskcroft/http1/_reader.py
+++ b/damaskcroft/http1/_reader.py
@@ -141,7 +141,7 @@
         if self._parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         headers = [*headers, (b"connection", b"close")]
-        await answer.give(status, headers, b"")
+        await answer.send_whole(status, headers, b"")
 
 
 def _find_head_fault(
--- a/damaskcroft/http1/_server.py
+++ b/damaskcroft/http1/_server.py
@@ -206,7 +206,7 @@
             return await reader.read_request(answer)
         except asyncio.CancelledError:
             if parser.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-                await answer.give(
+                await answer.send_whole(
                     _REQUEST_TIMEOUT, [(b"connection", b"close")], b""
                 )
             raise
@@ -326,7 +326,7 @@
     metrics.HTTP_FAULTS.labels(type(error).__name__).inc()
     log_warning("answer_failed", reason=repr(error))
     if not answer.begun:
-        await answer.give(
+        await answer.send_whole(
             _INTERNAL_SERVER_ERROR, [(b"connection", b"close")], b""
         )
 
--- a/damaskcroft/http1/tests/conftest.py
+++ b/damaskcroft/http1/tests/conftest.py
@@ -29,7 +29,7 @@
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
-        await answer.give(200, [], b"got " + request.body)
+        await answer.send_whole(200, [], b"got " + request.body)
 
     def limits(self):
         return self.limits_in_force
--- a/damaskcroft/http1/tests/test_server.py
+++ b/damaskcroft/http1/tests/test_server.py
@@ -191,7 +191,7 @@
         async with served() as (handler, call, _):
 
             async def begins_wrongly(request, answer):
-                await answer.begin(200, [(b"x-a", b"a\nb")])
+                await answer.send_head(200, [(b"x-a", b"a\nb")])
 
             handler.handle = begins_wrongly
             caller = await call()
@@ -288,7 +288,7 @@
 
             async def answers_at_length(request, answer):
                 handler.requests.append(request)
-                await answer.give(200, [], b"x" * 60_000)
+                await answer.send_whole(200, [], b"x" * 60_000)
 
             handler.handle = answers_at_length
             handler.stopping = True
@@ -313,7 +313,7 @@
 
             async def answers_at_length(request, answer):
                 handler.requests.append(request)
-                await answer.give(200, [], b"x" * 60_000)
+                await answer.send_whole(200, [], b"x" * 60_000)
 
             handler.handle = answers_at_length
             handler.stopping = True
@@ -334,9 +334,9 @@
             async def answers_in_time(request, answer):
                 try:
                     async with asyncio.timeout(0.05):
-                        await answer.give(200, [], b"x" * 150_000)
+                        await answer.send_whole(200, [], b"x" * 150_000)
                 except TimeoutError:
-                    await answer.give(504, [], b"")
+                    await answer.send_whole(504, [], b"")
 
             handler.handle = answers_in_time
             async with slow_caller(connections) as caller:
