--- a/damaskcroft/agent/main.py
+++ b/damaskcroft/agent/main.py
@@ -1,4 +1,4 @@
-"""damask-agent: announces, feeds, orders and guards one target."""
+"""damask-agent: admission, weight staging and orders for one target."""
 
 import asyncio
 import pathlib
@@ -33,9 +33,9 @@
 from damaskcroft.rpc import (
     ChannelPool,
     Keys,
-    grpc_served,
-    http_served,
     run_daemon,
+    serve_grpc,
+    serve_http,
     stop_event,
 )
 from damaskcroft.tasks import Work, background
@@ -50,17 +50,17 @@
 )
 
 _SETTLE_AT_STOP_S = 10.0
-# Entries learn of a drain within this time; then nothing new comes.
+# Entries learn of a drain within this time and then send no new requests.
 _DRAIN_NOTICE_S = 0.5
 
 app = typer.Typer(pretty_exceptions_enable=False, add_completion=False)
 
 
 class AgentProcess:
-    """Everything one agent owns, wired together."""
+    """Wires the components of one agent together."""
 
     def __init__(self, settings: settings_pb2.AgentSettings, keys: Keys):
-        """Builds the parts; `serve` runs them."""
+        """Builds the components; `serve` runs them."""
         self._settings = settings
         self._keys = keys
         self._incarnation = secrets.token_hex(8)
@@ -100,7 +100,7 @@
             self._settler,
             watch,
             limit,
-            self._guard.first_piece_seen,
+            self._guard.record_first_piece,
         )
         folder = pathlib.Path(settings.process.data_folder) / "weights"
         self._store = FolderStore(folder, burst.store_budget_bytes)
@@ -132,8 +132,8 @@
             ChunkService(self._chunks),
         ]
         async with (
-            grpc_served(process.listen, services, self._keys),
-            http_served(
+            serve_grpc(process.listen, services, self._keys),
+            serve_http(
                 process.http_listen, [Route("/readyz", self._ready)]
             ) as face,
         ):
@@ -144,7 +144,7 @@
             )
             async with background(*self._work()):
                 await stop.wait()
-                face.give_notice()
+                face.announce_shutdown()
                 await self._drain()
         await self._close()
 
@@ -164,9 +164,9 @@
         return work
 
     async def _drain(self) -> None:
-        """Takes no new work, and cuts off none that is running."""
+        """Refuses new requests and lets the running ones end."""
         self._gate.draining = True
-        self._client.report_soon()
+        self._client.renew_now()
         log_event("draining", outstanding=self._gate.outstanding)
         await asyncio.sleep(_DRAIN_NOTICE_S)
         try:
@@ -185,7 +185,7 @@
         self._pool.close()
 
     async def _follow_drain_records(self) -> None:
-        """An operator's drain record shuts the gate to new work."""
+        """Closes the gate to new requests while a drain record is in force."""
         roster = self._client.roster
         key = ("drain", self._announcement.id)
         while True:
@@ -194,7 +194,7 @@
             if draining != self._gate.draining:
                 self._gate.draining = draining
                 log_event("drain_record", draining=draining)
-                self._client.report_soon()
+                self._client.renew_now()
             async with roster.changed:
                 await roster.changed.wait()
 
@@ -202,7 +202,7 @@
         while True:
             async with self._stager.changed:
                 await self._stager.changed.wait()
-            self._client.report_soon()
+            self._client.renew_now()
 
     async def _ready(self, _: Request) -> Response:
         held = self._client.lease.is_held
@@ -230,7 +230,7 @@
             applied_revision=self._client.roster.revision,
             staged_manifest=self._stager.staged_manifest,
             held_up_by=self._activator.held_up.reason,
-            held_up_ms=self._activator.held_up.for_ms(),
+            held_up_ms=self._activator.held_up.duration_as_ms(),
         )
 
     def _phase(self) -> control_pb2.Phase:
@@ -311,5 +311,5 @@
 
 
 def main() -> None:
-    """Entry point of the program."""
+    """Runs the command-line program."""
     app()
--- a/damaskcroft/consensus/_applier.py
+++ b/damaskcroft/consensus/_applier.py
@@ -22,7 +22,7 @@
     Attributes:
         commit_index: index of the newest entry known to be committed.
         applied_index: index of the newest entry applied to the state machine.
-        changed: set after entries were applied.
+        changed: notified after entries were applied.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
             self._commit_advanced.clear()
             while self.applied_index < self.commit_index:
                 self._apply_next()
-            self.changed.give()
+            self.changed.notify()
             try:
                 self._compact_if_large()
             except OSError as error:
--- a/damaskcroft/consensus/_leadership_transfer.py
+++ b/damaskcroft/consensus/_leadership_transfer.py
@@ -18,7 +18,7 @@
 from damaskcroft.observe import log_event, metrics
 from damaskcroft.tasks import Signal
 
-__all__ = ["LeadershipTransfer", "Leadership"]
+__all__ = ["Leadership", "LeadershipTransfer"]
 
 # A voter that was sent TimeoutNow and has not been elected within this share of
 # an election timeout is considered failed, and another voter is tried.
@@ -59,7 +59,7 @@
         options: options of the replica.
         leadership: the replica.
         transport: sends TimeoutNow to the other voters.
-        changed: set when any part of `leadership` has changed.
+        changed: notified when any part of `leadership` has changed.
     """
 
     __slots__ = (
@@ -103,7 +103,7 @@
     async def wait_until_finished(self) -> None:
         """Waits until no transfer is in progress."""
         while self.is_in_progress:
-            await self._finished.next()
+            await self._finished.wait_next()
 
     async def run(self, within_s: float) -> bool:
         """Transfers the leadership; a concurrent call waits for the first.
@@ -116,7 +116,9 @@
             async with asyncio.timeout(within_s), self._transfer_lock:
                 await self._transfer()
         done = self._is_another_leader()
-        metrics.HANDOVERS.labels("done" if done else "not_done").inc()
+        metrics.LEADERSHIP_TRANSFERS.labels(
+            "done" if done else "not_done"
+        ).inc()
         log_event(
             "handover",
             done=done,
@@ -132,7 +134,7 @@
             await self._transfer_to_any_voter()
         finally:
             self.is_in_progress = False
-            self._finished.give()
+            self._finished.notify()
 
     async def _transfer_to_any_voter(self) -> None:
         attempted_ids: set[str] = set()
@@ -142,13 +144,13 @@
                 return
             voter = self._select_successor(responsive)
             if voter is None:
-                await self._changed.next()
+                await self._changed.wait_next()
                 continue
             attempted_ids.add(voter.id)
             if await self._send_timeout_now(voter):
                 await self._wait_until_stepped_down(voter)
         while not self._is_another_leader():
-            await self._changed.next()
+            await self._changed.wait_next()
 
     def _is_another_leader(self) -> bool:
         return self._leadership.leader_id not in ("", self._id)
@@ -179,7 +181,11 @@
         return min(candidates, key=peers.silent_s, default=None)
 
     async def _send_timeout_now(self, voter: consensus_pb2.Voter) -> bool:
-        """Sends TimeoutNow; returns whether the voter starts an election."""
+        """Sends TimeoutNow; returns whether the voter has agreed to stand.
+
+        Without a reply the voter may still start an election, so the lease
+        stays ended; only a refusal restores it.
+        """
         previous_term, self._lease_ended_term = (
             self._lease_ended_term,
             self._leadership.term,
@@ -209,7 +215,7 @@
         try:
             async with asyncio.timeout(self._attempt_timeout_s):
                 while self._leadership.is_leader:
-                    await self._changed.next()
+                    await self._changed.wait_next()
         except TimeoutError:
             log_event("handover_not_taken", to=voter.id)
 
--- a/damaskcroft/fleet/_validation.py
+++ b/damaskcroft/fleet/_validation.py
@@ -1,4 +1,4 @@
-"""Whether a configuration that can be read also makes sense."""
+"""Semantic validation of configurations."""
 
 from collections.abc import Iterator
 
@@ -10,7 +10,7 @@
 def configuration_faults(
     configuration: fleet_pb2.Configuration,
 ) -> Iterator[str]:
-    """Says what is wrong with a configuration; nothing when it is valid."""
+    """Describes the faults of a configuration; yields none if it is valid."""
     if configuration.version < 1:
         yield "the version is below 1"
     yield from _route_faults(configuration)
@@ -19,12 +19,12 @@
 
 def _route_faults(configuration: fleet_pb2.Configuration) -> Iterator[str]:
     services = {service.name for service in configuration.services}
-    places: set[tuple[str, str]] = set()
+    locations: set[tuple[str, str]] = set()
     for route in configuration.routes:
-        place = (route.host, route.path_prefix)
-        if place in places:
+        location = (route.host, route.path_prefix)
+        if location in locations:
             yield f"route {route.name}: another has its host and prefix"
-        places.add(place)
+        locations.add(location)
         if route.timeout_ms <= 0:
             yield f"route {route.name}: no time"
         if not route.path_prefix.startswith("/"):
--- a/damaskcroft/hosted/entry.py
+++ b/damaskcroft/hosted/entry.py
@@ -1,4 +1,4 @@
-"""damask-entry on a machine that callers reach."""
+"""Assembly of damask-entry, which accepts callers' requests."""
 
 import asyncio
 import functools
@@ -10,64 +10,66 @@
     FleetView,
     NodeSettings,
     Reporter,
-    TurnTaker,
+    TurnClient,
     Watcher,
 )
 from damaskcroft.forwarding import EntryGate, Forwarder, Services, Suspects
 from damaskcroft.hosted.seeds import follow_new_seeds
 from damaskcroft.http1 import (
     ConnectionPool,
-    EndTimes,
-    callers_served,
+    ShutdownTimes,
     drained,
+    serve_callers,
 )
 from damaskcroft.limits import RateLimits
 from damaskcroft.observe import log_event
 from damaskcroft.platform.ready_face import ready_routes
 from damaskcroft.platform.wire import PlatformWire
-from damaskcroft.quarantine import CrashBook
+from damaskcroft.quarantine import CrashRegistry
 from damaskcroft.routing import (
     AnswerDelays,
     BackPressure,
     Outliers,
-    PartedTargets,
+    PartitionedTargets,
     Placer,
     RetryWindow,
     SilenceWatch,
 )
-from damaskcroft.rpc import ChannelPool, Keys, http_served
+from damaskcroft.rpc import ChannelPool, Keys, serve_http
 from damaskcroft.tasks import background
 
 __all__ = ["serve"]
 
-_CLEAN_EVERY_S = 0.5
-# While a stopping entry says it isn't ready, callers' idle connections stay
-# open for as long as the balancer may take to notice: two of its questions, a
-# second apart, and one for good measure.
-_NOTICE_S = 3.5
-# What can't be answered in full is told so this long before the platform's
-# SIGKILL, so that callers have read it and the process has ended by then,
-# beside other busy processes too. Of a short grace period it is a share.
-_SPARE_S = 1.0
-_SPARE_SHARE = 1 / 8
-# Of that, for callers to read their last answers.
-_READ_SHARE = 0.2
-# Of what is left, kept back from waiting for callers to close connections.
-_LINGER_SPARE_S = 0.6
-# At the end, for background tasks, after each word to end.
-_BACKGROUND_END_S = 0.1
-# At the end, for whoever asks whether the entry is ready.
-_READY_END_S = 0.2
+_CLEANUP_INTERVAL_S = 0.5
+# How long a stopping entry reports that it isn't ready and keeps callers' idle
+# connections open, so that the load balancer notices: two of its readiness
+# probes, which are a second apart, and one more as a margin.
+_NOT_READY_NOTICE_S = 3.5
+# Requests that can't be answered in full are refused this long before the
+# platform's SIGKILL. Callers can then read the refusal and the process can end
+# in time, even beside other busy processes. For a short grace period the margin
+# is a share of it.
+_SHUTDOWN_MARGIN_S = 1.0
+_SHUTDOWN_MARGIN_SHARE = 1 / 8
+# Share of the margin in which callers read their last answers.
+_FINAL_READ_SHARE = 0.2
+# Part of the remaining time that is not spent on waiting for callers to close
+# their connections.
+_LINGER_MARGIN_S = 0.6
+# How long background tasks may take to end after each cancellation.
+_BACKGROUND_SHUTDOWN_S = 0.1
+# How long readiness probes may still be answered at shutdown.
+_READY_SHUTDOWN_S = 0.2
 
 
 async def serve(settings: NodeSettings, stop: asyncio.Event) -> None:
-    """Runs one entry until `stop` is set, then ends gracefully.
+    """Runs one entry until `stop` is set, then shuts it down gracefully.
 
     Raises:
         OSError: an address can't be bound.
     """
     channels = ChannelPool(Keys(None, None))
-    view = FleetView(crashes=CrashBook(random.random()))
+    view = FleetView(crashes=CrashRegistry(random.random()))
     seeds = [settings.rpc_address_at(seed) for seed in settings.seeds]
     watcher = Watcher(
         view,
@@ -76,13 +78,16 @@
         lambda: fleet_pb2.WatchRequest(
             name=settings.name,
             is_entry=True,
-            crashes=view.crashes.words(),
-            limits=view.limits.words(),
+            crashes=view.crashes.snapshot(),
+            limits=view.limits.snapshot(),
         ),
     )
     reporter = Reporter(view, channels, seeds)
     limits = RateLimits(
-        view.limits, settings.name, view.entry_names.names, reporter.tell_limits
+        view.limits,
+        settings.name,
+        view.entry_names.names,
+        reporter.report_limits,
     )
     outliers = Outliers()
     delays = AnswerDelays()
@@ -92,17 +97,19 @@
         settings.failure_domain,
         settings.region,
         outliers,
-        answer_delay_s=delays.quickest_s,
-        takes_one=back_pressure.takes_one,
-        is_spared=limits.is_spared,
-        is_due=limits.is_due,
-        is_own=PartedTargets(settings.name, view.entry_names.names).is_own,
+        answer_delay_s=delays.shortest_delay_s,
+        is_half_open=back_pressure.is_half_open,
+        is_deferred=limits.is_deferred,
+        is_probe_due=limits.is_probe_due,
+        is_assigned=PartitionedTargets(
+            settings.name, view.entry_names.names
+        ).is_assigned,
     )
     services = Services(
         view,
         settings.region_by_domain,
         bounds.weights_s,
-        delays.foreseen_s,
+        delays.expected_delay_s,
     )
     connections = ConnectionPool()
     retry_window = RetryWindow(
@@ -124,43 +131,43 @@
             view.crashes,
             services,
             back_pressure,
-            reporter.tell_crashes,
-            TurnTaker(view, channels, seeds).hold,
+            reporter.report_crashes,
+            TurnClient(view, channels, seeds).hold,
         ),
-        view.doubt_target,
+        view.demote_target,
     )
     gate = EntryGate(wire, view, forwarder)
 
     def is_ready() -> bool:
-        return view.table is not None and not gate.is_stopping()
+        return view.route_table is not None and not gate.is_stopping()
 
     async def keep_clean() -> None:
         while True:
-            await asyncio.sleep(_CLEAN_EVERY_S)
-            connections.close_old()
-            started_ids = view.book.start_ids()
-            placer.forget_all_but(started_ids)
-            delays.forget_all_but(started_ids)
-            back_pressure.forget_all_but(started_ids)
-            limits.forget_all_but(started_ids)
-            view.limits.forget_all_but(started_ids)
-            view.crashes.forget_old()
+            await asyncio.sleep(_CLEANUP_INTERVAL_S)
+            connections.close_expired()
+            live_start_ids = view.targets.start_ids()
+            placer.retain_only(live_start_ids)
+            delays.retain_only(live_start_ids)
+            back_pressure.retain_only(live_start_ids)
+            limits.retain_only(live_start_ids)
+            view.limits.retain_only(live_start_ids)
+            view.crashes.evict_expired()
             retry_window.entries = placer.entries = view.entries
 
     async def follow_limits() -> None:
-        seen = view.wishes.count
+        last_count = view.desired_changed.count
         while True:
-            callers.note_limits()
-            seen = await view.wishes.wait(seen)
+            caller_server.apply_limits()
+            last_count = await view.desired_changed.wait(last_count)
 
     async with (
-        http_served(
+        serve_http(
             settings.ready_address,
             ready_routes(is_ready),
-            notice_s=_READY_END_S,
-            end_s=_READY_END_S,
-        ) as ready,
-        callers_served(settings.caller_address, gate) as callers,
+            shutdown_notice_s=_READY_SHUTDOWN_S,
+            end_s=_READY_SHUTDOWN_S,
+        ) as ready_server,
+        serve_callers(settings.caller_address, gate) as caller_server,
         background(
             watcher.run,
             forwarder.run,
@@ -168,32 +175,32 @@
             keep_clean,
             follow_limits,
             functools.partial(follow_new_seeds, view, watcher),
-            end_s=_BACKGROUND_END_S,
+            end_s=_BACKGROUND_SHUTDOWN_S,
         ),
     ):
         log_event("started", role="entry", address=settings.caller_address)
         await stop.wait()
-        spare_s = _spare_s(bounds.grace_s)
-        gate.stop(bounds.grace_s - spare_s)
-        ready.give_notice()
-        log_event("stopping", role="entry", answering=callers.answering)
-        await drained(callers, _end_times(bounds.grace_s, spare_s))
-        log_event("drained", answering=callers.answering)
+        margin_s = _shutdown_margin_s(bounds.grace_s)
+        gate.stop(bounds.grace_s - margin_s)
+        ready_server.announce_shutdown()
+        log_event("stopping", role="entry", answering=caller_server.answering)
+        await drained(caller_server, _shutdown_times(bounds.grace_s, margin_s))
+        log_event("drained", answering=caller_server.answering)
     connections.close()
     channels.close()
 
 
-def _spare_s(grace_s: float) -> float:
-    """From the last answers to the end of the grace period."""
-    return min(_SPARE_S, grace_s * _SPARE_SHARE)
+def _shutdown_margin_s(grace_s: float) -> float:
+    """Time between the last answers and the end of the grace period."""
+    return min(_SHUTDOWN_MARGIN_S, grace_s * _SHUTDOWN_MARGIN_SHARE)
 
 
-def _end_times(grace_s: float, spare_s: float) -> EndTimes:
-    """Connections are accepted until the last one has ended."""
-    within_s = grace_s - spare_s + spare_s * _READ_SHARE
-    return EndTimes(
-        notice_s=min(_NOTICE_S, within_s / 2),
-        listen_s=math.inf,
-        told_s=within_s - _LINGER_SPARE_S,
+def _shutdown_times(grace_s: float, margin_s: float) -> ShutdownTimes:
+    """Shutdown times; listening goes on until the last connection ends."""
+    within_s = grace_s - margin_s + margin_s * _FINAL_READ_SHARE
+    return ShutdownTimes(
+        shutdown_notice_s=min(_NOT_READY_NOTICE_S, within_s / 2),
+        accept_s=math.inf,
+        close_wait_s=within_s - _LINGER_MARGIN_S,
         within_s=within_s,
     )
--- a/damaskcroft/http1/__init__.py
+++ b/damaskcroft/http1/__init__.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 towards callers and targets, over h11 and httptools.
+"""HTTP/1.1 server for callers and client for targets, over h11 and httptools.
 
-A high-level client or server hides facts that decide what may be repeated:
-which kept connection answered, whether any byte was sent or read, whether a
-body was whole, when the caller left. So both faces drive parsers over asyncio
-(RFC 9110, RFC 9112).
+A high-level client or server hides facts that decide whether a request may be
+repeated: which persistent connection answered, whether any byte was sent or
+read, whether a body was complete, when the caller disconnected. Therefore both
+the server and the client drive parsers over asyncio (RFC 9110, RFC 9112).
 """
 
 from damaskcroft.http1._channel import Channel, ChannelLostError, connect
@@ -13,12 +13,6 @@
     TargetConnection,
 )
 from damaskcroft.http1._closing import Lingering, closing_answer
-from damaskcroft.http1._ending import (
-    EndingServer,
-    EndTimes,
-    drained,
-    end_server,
-)
 from damaskcroft.http1._exchange import (
     Answer,
     CallerHandler,
@@ -29,7 +23,13 @@
 from damaskcroft.http1._listening import stop_listening
 from damaskcroft.http1._pool import ConnectionPool, Place
 from damaskcroft.http1._retry_after import retry_after_s
-from damaskcroft.http1._server import CallerConnections, callers_served
+from damaskcroft.http1._server import CallerConnections, serve_callers
+from damaskcroft.http1._shutdown import (
+    GracefulServer,
+    ShutdownTimes,
+    drained,
+    shut_down_server,
+)
 
 __all__ = [
     "Answer",
@@ -41,19 +41,19 @@
     "ChannelLostError",
     "ConnectionPool",
     "CutShortError",
-    "EndTimes",
-    "EndingServer",
+    "GracefulServer",
     "Head",
     "Headers",
-    "NoAnswerError",
     "Lingering",
+    "NoAnswerError",
     "Place",
+    "ShutdownTimes",
     "TargetConnection",
-    "callers_served",
-    "connect",
     "closing_answer",
+    "connect",
     "drained",
-    "end_server",
     "retry_after_s",
+    "serve_callers",
+    "shut_down_server",
     "stop_listening",
 ]
--- a/damaskcroft/membership/_client.py
+++ b/damaskcroft/membership/_client.py
@@ -1,6 +1,7 @@
 """The holder's side of the lease protocol.
 
-The client has a connection to one control node at a time, the leader.
+The client is connected to one control node at a time. It tries the nodes until
+it reaches the leader.
 """
 
 import asyncio
@@ -57,7 +58,7 @@
         self._granted_revision = 0
         self._next_address = 0
 
-    def report_soon(self) -> None:
+    def renew_now(self) -> None:
         """Sends the next renewal at once because the report has changed."""
         self._renewal_requested.set()
 
@@ -123,7 +124,7 @@
             )
             if sent_changes != crashes.changes:
                 sent_changes = crashes.changes
-                renewal.crashes.extend(crashes.words())
+                renewal.crashes.extend(crashes.snapshot())
             await stream.send_message(control_pb2.HolderMessage(renew=renewal))
             try:
                 async with asyncio.timeout(self._renew_every_s):
--- a/damaskcroft/observe/metrics.py
+++ b/damaskcroft/observe/metrics.py
@@ -1,4 +1,4 @@
-"""Every metric of the system, declared in one place with its meaning."""
+"""Declares all metrics of the system with their meanings."""
 
 from prometheus_client import REGISTRY, Counter, Gauge, Histogram
 
@@ -6,6 +6,7 @@
     "ADMISSION_OUTSTANDING",
     "ADMISSION_QUEUED",
     "ANSWERS",
+    "ANSWERS_DROPPED",
     "ANSWER_FIRST_S",
     "ANSWER_GAP_S",
     "ANSWER_QUEUED_S",
@@ -18,15 +19,14 @@
     "CLAIMS",
     "COMMIT_INDEX",
     "CONTROL_REFUSALS",
-    "HTTP_FAULTS",
-    "IDLE_CONNECTIONS_CLOSED",
     "ELECTIONS",
     "FIRST_TOKEN_S",
     "GATE_REFUSALS",
-    "HANDOVERS",
     "HOLDERS_LAPSED",
+    "HTTP_FAULTS",
+    "IDLE_CONNECTIONS_CLOSED",
     "IN_FORCE_S",
-    "LATE_DROPPED",
+    "LEADERSHIP_TRANSFERS",
     "LEASE_LAPSES",
     "ORDERS",
     "ORDER_HELD_UP_S",
@@ -35,7 +35,7 @@
     "REFUSALS",
     "RETRIES",
     "ROLLOUT_WAITS_S",
-    "TARGETS_LEFT_ALONE",
+    "TARGETS_AVOIDED",
     "TARGETS_LIMITED",
     "TARGET_CRASHES",
     "TARGET_LIMIT_CHANGES",
@@ -46,7 +46,7 @@
     "idle_connections_closed",
 ]
 
-_SECONDS = (
+_LATENCY_BUCKETS_S = (
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10,
 )  # fmt: skip
 
@@ -65,7 +65,7 @@
     "damask_target_crashes", "Targets that crashed under requests of this "
     "entry, by what showed it", ["how"],
 )  # fmt: skip
-TARGETS_LEFT_ALONE = Counter(
+TARGETS_AVOIDED = Counter(
     "damask_targets_left_alone", "Targets that asked in an answer for rest, "
     "or said that they leave", ["why"],
 )  # fmt: skip
@@ -81,7 +81,7 @@
     "damask_quarantine", "Decisions on requests that crash targets",
     ["decision"],
 )  # fmt: skip
-UNUSABLE_WORDS = Counter(
+INVALID_ANNOUNCEMENTS = Counter(
     "damask_unusable_words", "Words of targets that changed nothing, by fault",
     ["kind", "reason"],
 )  # fmt: skip
@@ -93,35 +93,37 @@
     "damask_idle_connections_closed",
     "Idle connections that we ended, and those that bytes crossed", ["how"],
 )  # fmt: skip
-LATE_DROPPED = Counter(
+ANSWERS_DROPPED = Counter(
     "damask_answers_dropped", "Late or crossed answers dropped", ["reason"]
 )
 QUEUE_WAIT_S = Histogram(
     "damask_queue_wait_seconds", "Wait for a slot", ["priority"],
-    buckets=_SECONDS,
+    buckets=_LATENCY_BUCKETS_S,
 )  # fmt: skip
 FIRST_TOKEN_S = Histogram(
     "damask_first_token_seconds", "Arrival to first body byte", ["priority"],
-    buckets=_SECONDS,
+    buckets=_LATENCY_BUCKETS_S,
 )  # fmt: skip
 TOKEN_GAP_S = Histogram(
-    "damask_token_gap_seconds", "Time between body pieces", buckets=_SECONDS
+    "damask_token_gap_seconds",
+    "Time between body pieces",
+    buckets=_LATENCY_BUCKETS_S,
 )
 ANSWER_QUEUED_S = Histogram(
     "damask_answer_queued_seconds", "Arrival until a target's slot is had",
-    ["service"], buckets=_SECONDS,
+    ["service"], buckets=_LATENCY_BUCKETS_S,
 )  # fmt: skip
 ANSWER_FIRST_S = Histogram(
     "damask_answer_first_seconds", "Arrival until the caller has something",
-    ["service"], buckets=_SECONDS,
+    ["service"], buckets=_LATENCY_BUCKETS_S,
 )  # fmt: skip
 ANSWER_GAP_S = Histogram(
     "damask_answer_gap_seconds", "Longest pause in a streamed answer",
-    ["service"], buckets=_SECONDS,
+    ["service"], buckets=_LATENCY_BUCKETS_S,
 )  # fmt: skip
 ANSWER_WHOLE_S = Histogram(
     "damask_answer_whole_seconds", "Arrival until the answer is whole",
-    ["service"], buckets=_SECONDS,
+    ["service"], buckets=_LATENCY_BUCKETS_S,
 )  # fmt: skip
 ADMISSION_QUEUED = Gauge("damask_queued", "Requests waiting", ["pool"])
 ADMISSION_OUTSTANDING = Gauge("damask_outstanding", "Requests running")
@@ -153,7 +155,7 @@
     "damask_control_refusals", "Changes and reads that this control node could "
     "not answer, by reason", ["call", "reason"],
 )  # fmt: skip
-HANDOVERS = Counter(
+LEADERSHIP_TRANSFERS = Counter(
     "damask_handovers", "Leaders that were to hand over, by outcome",
     ["outcome"],
 )  # fmt: skip
@@ -161,7 +163,7 @@
 HOLDERS_LAPSED = Gauge("damask_holders_lapsed", "Known holders without a lease")
 IN_FORCE_S = Histogram(
     "damask_in_force_seconds", "Accepted until every live holder applied it",
-    buckets=_SECONDS,
+    buckets=_LATENCY_BUCKETS_S,
 )  # fmt: skip
 BURST_BYTES = Counter(
     "damask_burst_bytes", "Weight bytes by source; 'sent' to peers", ["source"]
@@ -186,6 +188,10 @@
 
 
 def idle_connections_closed(how: str) -> int:
-    """How many idle connections this process has ended, by their label."""
+    """Returns this process's count of closed idle connections.
+
+    Args:
+        how: label of the counter.
+    """
     name = "damask_idle_connections_closed_total"
     return int(REGISTRY.get_sample_value(name, {"how": how}) or 0)
--- a/damaskcroft/platform/engine.py
+++ b/damaskcroft/platform/engine.py
@@ -1,4 +1,4 @@
-"""The platform's model server beside an agent."""
+"""HTTP client for the platform's model server beside an agent."""
 
 import json
 from typing import Any
@@ -13,7 +13,7 @@
     OrderRefused,
     StagedEngine,
 )
-from damaskcroft.fleet import Unusable, note_unusable
+from damaskcroft.fleet import InvalidAnnouncement, record_invalid_announcement
 from damaskcroft.observe import log_event
 from damaskcroft.platform.announcements import decode_report
 from damaskcroft.rpc import HTTP_ERRORS, make_http_client
@@ -21,47 +21,47 @@
 __all__ = ["PlatformEngine"]
 
 _OK, _ACCEPTED, _NOT_FOUND = 200, 202, 404
-_CONNECTIONS = 4
+_MAX_CONNECTIONS = 4
 _CONNECT_TIMEOUT_S = 0.5
 _READ_TIMEOUT_S = 1.5
 
 
 class PlatformEngine(StagedEngine):
-    """See StagedEngine."""
+    """Sends orders and weights to a model server of the platform over HTTP."""
 
     __slots__ = ("_base_url", "_client", "_reachable")
 
     def __init__(self, address: str):
-        """Names the server's address; nothing is connected yet."""
+        """Takes the server's address; connects at the first call."""
         self._base_url = f"http://{address}/api"
         self._reachable = True
         self._client = make_http_client(
-            connections=_CONNECTIONS,
+            connections=_MAX_CONNECTIONS,
             connect_timeout_s=_CONNECT_TIMEOUT_S,
             read_timeout_s=_READ_TIMEOUT_S,
         )
 
     async def report(self) -> EngineReport | EngineUnreachable:
-        """See StagedEngine."""
+        """Fetches the server's status report."""
         outcome = await self._call("GET", "report")
         if outcome is None or outcome[0] != _OK:
             return EngineUnreachable()
         report = decode_report(outcome[1])
-        if isinstance(report, Unusable):
-            note_unusable("report", self._base_url, report)
+        if isinstance(report, InvalidAnnouncement):
+            record_invalid_announcement("report", self._base_url, report)
             return EngineUnreachable()
         return report
 
-    async def put_piece(self, model: str, index: int, data: bytes) -> bool:
-        """See StagedEngine."""
-        # On the wire a piece's number is called a sample size.
+    async def stage_piece(self, model: str, index: int, data: bytes) -> bool:
+        """Uploads a piece of weights to the server's staging area."""
+        # The wire's `sample_size` is the index of the piece.
         outcome = await self._call(
             "PUT", f"stage-put/{model}?sample_size={index}", data
         )
         return outcome is not None and 200 <= outcome[0] < 300
 
-    async def get_piece(self, model: str, index: int) -> bytes | None:
-        """See StagedEngine."""
+    async def fetch_staged_piece(self, model: str, index: int) -> bytes | None:
+        """Returns a staged piece, or None if the server does not have it."""
         outcome = await self._call(
             "GET", f"stage-get/{model}?sample_size={index}"
         )
@@ -70,26 +70,28 @@
         return outcome[1]
 
     async def start(
-        self, model: str, version: int, sequence: int, *, cut_running: bool
+        self, model: str, version: int, sequence: int, *, abort_running: bool
     ) -> OrderOutcome:
-        """See StagedEngine."""
-        order = _start_order(model, version, sequence, cut_running)
-        return await self._order(order)
+        """Orders the server to load and serve a version of a model."""
+        order = _encode_start_order(model, version, sequence, abort_running)
+        return await self._send_order(order)
 
     async def keep_only(
         self,
         part: fleet_pb2.HeldLayers,
         sequence: int,
         *,
-        cut_running: bool = False,
+        abort_running: bool = False,
     ) -> OrderOutcome:
-        """See StagedEngine."""
-        order = _start_order(part.model, part.version, sequence, cut_running)
-        # On the wire the end of a range of layers is called a target.
+        """Orders the server to drop all layers outside `part`."""
+        order = _encode_start_order(
+            part.model, part.version, sequence, abort_running
+        )
+        # The wire's `target` is the exclusive end of the range of layers.
         order["from"], order["target"] = part.first_layer, part.end_layer
-        return await self._order(order)
+        return await self._send_order(order)
 
-    async def _order(self, order: dict[str, Any]) -> OrderOutcome:
+    async def _send_order(self, order: dict[str, Any]) -> OrderOutcome:
         outcome = await self._call(
             "POST", "order", json.dumps(order).encode(), "application/json"
         )
@@ -101,7 +103,7 @@
         return OrderRefused(f"{status} {body[:200].decode('latin-1')}")
 
     async def close(self) -> None:
-        """See StagedEngine."""
+        """Closes the HTTP client."""
         await self._client.aclose()
 
     async def _call(
@@ -130,13 +132,13 @@
         return response.status_code, content
 
 
-def _start_order(
-    model: str, version: int, sequence: int, cut_running: bool
+def _encode_start_order(
+    model: str, version: int, sequence: int, abort_running: bool
 ) -> dict[str, Any]:
     return {
         "operation": "start",
         "model": model,
         "version": version,
-        "switch_mode": "abort" if cut_running else "wait",
+        "switch_mode": "abort" if abort_running else "wait",
         "precondition": sequence,
     }
--- a/damaskcroft/platform/tests/test_engine.py
+++ b/damaskcroft/platform/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""Orders as a model server of the platform gets them."""
+"""Orders as a model server of the platform receives them."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 from damaskcroft._generated import fleet_pb2
 from damaskcroft.engines import OrderAccepted, OrderRefused
 from damaskcroft.platform.engine import PlatformEngine
-from damaskcroft.rpc import http_served
+from damaskcroft.rpc import serve_http
 from damaskcroft.standins.loopback import free_address
 
 
@@ -18,32 +18,32 @@
     return free_address()
 
 
-def ordered(address, order, status=202):
-    """What a server was sent, and the outcome."""
-    got = []
+def send_order(address, order, status=202):
+    """Returns the orders that a server received, and the outcome."""
+    received = []
 
-    async def take(request):
-        got.append(await request.json())
+    async def receive(request):
+        received.append(await request.json())
         return Response(status_code=status)
 
     async def scenario():
-        routes = [Route("/api/order", take, methods=["POST"])]
-        async with http_served(address, routes):
+        routes = [Route("/api/order", receive, methods=["POST"])]
+        async with serve_http(address, routes):
             engine = PlatformEngine(address)
             outcome = await order(engine)
             await engine.close()
             return outcome
 
     outcome = asyncio.run(scenario())
-    return got, outcome
+    return received, outcome
 
 
-def test_a_whole_version_is_ordered_without_a_range(address):
-    got, outcome = ordered(
-        address, lambda engine: engine.start("m", 2, 5, cut_running=True)
+def test_order_of_a_complete_version_has_no_layer_range(address):
+    received, outcome = send_order(
+        address, lambda engine: engine.start("m", 2, 5, abort_running=True)
     )
     assert outcome == OrderAccepted()
-    assert got == [
+    assert received == [
         {
             "operation": "start",
             "model": "m",
@@ -54,15 +54,15 @@
     ]
 
 
-def test_giving_up_layers_names_those_that_stay(address):
+def test_order_to_drop_layers_states_the_range_that_stays(address):
     part = fleet_pb2.HeldLayers(
         model="m", version=1, first_layer=0, end_layer=1
     )
-    got, outcome = ordered(
+    received, outcome = send_order(
         address, lambda engine: engine.keep_only(part, 5), status=409
     )
     assert isinstance(outcome, OrderRefused)
-    assert got == [
+    assert received == [
         {
             "operation": "start",
             "model": "m",
--- a/damaskcroft/records/__init__.py
+++ b/damaskcroft/records/__init__.py
@@ -2,9 +2,9 @@
 
 from damaskcroft.records._registry import RecordRegistry
 from damaskcroft.records._selection import (
+    deployed_models,
     deployment_for,
     matches,
-    models_on_record,
 )
 from damaskcroft.records._shapes import (
     CURRENT_SCHEMA_VERSION,
@@ -19,9 +19,9 @@
     "InvalidRecord",
     "RecordRegistry",
     "UnsupportedSchema",
+    "deployed_models",
     "deployment_for",
     "matches",
-    "models_on_record",
     "parse_deployment",
     "validate",
 ]
--- a/damaskcroft/standins/main.py
+++ b/damaskcroft/standins/main.py
@@ -1,4 +1,4 @@
-"""damask-standin: origin, weight store, model engine and plain service."""
+"""The damask-standin program: origin, weight store, engine and service."""
 
 import asyncio
 import pathlib
@@ -8,7 +8,7 @@
 from starlette.routing import Route
 
 from damaskcroft.observe import start_logs
-from damaskcroft.rpc import http_served, start_failure_logged, stop_event
+from damaskcroft.rpc import logging_start_failure, serve_http, stop_event
 from damaskcroft.standins._engine import StandInEngine
 from damaskcroft.standins._journal import Journal
 from damaskcroft.standins._passthrough import PassThrough
@@ -19,7 +19,7 @@
     pretty_exceptions_enable=False, add_completion=False, no_args_is_help=True
 )
 
-Listen = Annotated[str, typer.Option(help="IP number and port")]
+Listen = Annotated[str, typer.Option(help="IP address and port")]
 JournalFile = Annotated[pathlib.Path, typer.Option(help="the run journal")]
 
 
@@ -74,8 +74,8 @@
 
     async def run() -> None:
         stop = stop_event()
-        async with http_served(listen, routes):
+        async with serve_http(listen, routes):
             await stop.wait()
 
-    with start_failure_logged(OSError):
+    with logging_start_failure(OSError):
         asyncio.run(run())
--- a/damaskcroft/weights/__init__.py
+++ b/damaskcroft/weights/__init__.py
@@ -1,4 +1,4 @@
-"""Weights on their way: manifests, chunks, who fetches from whom."""
+"""Distribution of weights: manifests, chunks, planning and transfer."""
 
 from damaskcroft.weights._burst import Burst, BurstOptions, help_share
 from damaskcroft.weights._errors import (
@@ -24,11 +24,11 @@
 from damaskcroft.weights._pacer import Pacer
 from damaskcroft.weights._peers import (
     GrpcPeerSource,
+    PeerChunkMissing,
     PeerData,
     PeerFailed,
-    PeerNotYet,
+    PeerNotInBurst,
     PeerSource,
-    PeerUnaware,
 )
 from damaskcroft.weights._planner import (
     Participant,
@@ -57,23 +57,23 @@
     "OutsideSource",
     "Pacer",
     "Participant",
+    "PeerChunkMissing",
     "PeerData",
     "PeerFailed",
-    "PeerNotYet",
+    "PeerNotInBurst",
     "PeerSource",
-    "PeerUnaware",
-    "RangeSource",
     "Planner",
+    "RangeSource",
     "StagedVersion",
     "StoreFullError",
     "UploadRate",
     "WeightsError",
     "build_manifest",
+    "help_share",
     "load_manifest",
     "make_planner",
     "manifest_digest",
     "manifest_of_digests",
     "packed",
-    "help_share",
     "weights_path",
 ]
