--- a/conftest.py
+++ b/conftest.py
@@ -48,7 +48,10 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Marks tests in KNOWN-RED.txt as expected failures, with their causes."""
+    """Marks tests in KNOWN-RED.txt: they run, but their results don't decide.
+
+    Reports show what KNOWN-RED.txt says of each.
+    """
     list_path = pathlib.Path(__file__).parent / "KNOWN-RED.txt"
     if not list_path.exists():
         return
--- a/damaskcroft/consensus/tests/test_elections.py
+++ b/damaskcroft/consensus/tests/test_elections.py
@@ -7,12 +7,13 @@
   activated. (Seed 13 of standins/tests/chase.py, version 38.)
 - For half a minute, one node started an election each second (`no_pre_vote
   silent_s=28.8`) and the other one refused its vote (`hears_leader`); seen in
-  test_leader_killed_in_a_burst. The candidate itself was the leader that the
-  other one heard: it had led and stepped down (`leader_cut_off`), but one of
-  its replication tasks survived its cancellation, because the RPC library turns
-  a cancellation that coincides with a failure of the call into that failure.
-  The task went on to send heartbeats under the current term, and a replica that
-  receives heartbeats neither starts an election nor grants its vote.
+  test_rollout_completes_when_leader_is_killed_during_burst. The candidate
+  itself was the leader that the other one heard: it had led and stepped down
+  (`leader_cut_off`), but one of its replication tasks survived its
+  cancellation, because the RPC library turns a cancellation that coincides with
+  a failure of the call into that failure. The task went on to send heartbeats
+  under the current term, and a replica that receives heartbeats neither starts
+  an election nor grants its vote.
 
 Earlier leaders had stepped down 0.15 s after their election
 (`leader_cut_off silent_s=inf`), before any follower had time to reply.
